--- a/kingcupbay_bench/src/share/score.rs
+++ b/kingcupbay_bench/src/share/score.rs
@@ -79,11 +79,11 @@
         let exact = &mut self.exact[request.organisation];
         match exact.reserve(now, Amount::from_tokens(request.tokens)) {
             Ok(id) => Some(id),
-            Err(short) => {
+            Err(shortage) => {
                 // Charged as far as it goes; what is missing is over the bound.
                 let level = exact.share_at(now).level;
                 let rest = exact.reserve(now, level).ok();
-                self.over += short.lack.as_micros().div_ceil(1_000_000);
+                self.over += shortage.missing.as_micros().div_ceil(1_000_000);
                 rest
             }
         }
--- a/kingcupbay_core/src/share/bucket.rs
+++ b/kingcupbay_core/src/share/bucket.rs
@@ -41,9 +41,9 @@
 
 /// Not enough tokens here and now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Short {
+pub struct Shortage {
     /// What is missing.
-    pub lack: Amount,
+    pub missing: Amount,
     /// When this bucket alone would have it; `None` when it never will.
     pub retry_after: Option<Span>,
 }
@@ -103,10 +103,10 @@
     }
 
     /// Takes `amount` out for a request.
-    pub fn reserve(&mut self, now: Instant, amount: Amount) -> Result<ReservationId, Short> {
+    pub fn reserve(&mut self, now: Instant, amount: Amount) -> Result<ReservationId, Shortage> {
         self.advance(now);
         if amount > self.share.level {
-            return Err(self.short(amount));
+            return Err(self.shortage(amount));
         }
         self.share.level -= amount;
         let id = ReservationId(self.next);
@@ -171,11 +171,11 @@
         self.note();
     }
 
-    fn short(&self, amount: Amount) -> Short {
-        let lack = amount - self.share.level;
+    fn shortage(&self, amount: Amount) -> Shortage {
+        let missing = amount - self.share.level;
         let reachable = amount <= self.share.capacity;
-        let wait = lack.refill_time(self.share.rate);
-        Short { lack, retry_after: wait.filter(|_| reachable) }
+        let wait = missing.refill_time(self.share.rate);
+        Shortage { missing, retry_after: wait.filter(|_| reachable) }
     }
 
     /// Notes the headroom for all reservations made so far.
--- a/kingcupbay_core/src/share/message.rs
+++ b/kingcupbay_core/src/share/message.rs
@@ -47,7 +47,8 @@
     /// Whose tokens.
     pub organisation: OrganisationId,
     /// How many are missing.
-    pub lack: Amount,
+    #[serde(rename = "lack")]
+    pub missing: Amount,
 }
 
 /// Shares on their way.
--- a/kingcupbay_core/src/share/mod.rs
+++ b/kingcupbay_core/src/share/mod.rs
@@ -8,5 +8,5 @@
 mod ledger;
 pub mod message;
 pub mod plan;
+mod rebalance;
 pub mod shares;
-mod steer;
--- a/kingcupbay_core/src/share/steer.rs
+++ b/kingcupbay_core/src/share/rebalance.rs
@@ -171,7 +171,7 @@
         &mut self,
         now: Instant,
         organisation: OrganisationId,
-        lack: Amount,
+        missing: Amount,
     ) -> Vec<Action> {
         let mut rich = Vec::new();
         let mut stale = false;
@@ -186,17 +186,17 @@
         }
         rich.sort_by_key(|&(level, peer)| (std::cmp::Reverse(level), peer));
         let known = rich.iter().fold(Amount::ZERO, |sum, &(level, _)| sum + level);
-        if known < lack && !stale {
+        if known < missing && !stale {
             return Vec::new();
         }
-        let mut left = lack;
+        let mut left = missing;
         let mut actions = Vec::new();
         for (level, peer) in rich {
             if left == Amount::ZERO {
                 break;
             }
             self.asked.insert((organisation, peer), now);
-            actions.push(self.send(peer, Message::Ask(Ask { organisation, lack: left })));
+            actions.push(self.send(peer, Message::Ask(Ask { organisation, missing: left })));
             left = left.saturating_sub(level);
         }
         actions
--- a/kingcupbay_core/src/share/shares.rs
+++ b/kingcupbay_core/src/share/shares.rs
@@ -8,7 +8,7 @@
     ledger::Ledger,
     message::{Ask, Envelope, Message, Part, Transfer},
     plan::{Grant, Holder, Plan, Report, grant},
-    steer::{Demand, Peer},
+    rebalance::{Demand, Peer},
 };
 use crate::{
     config::model::Total,
@@ -265,20 +265,20 @@
         if now == since {
             book.demand.count(amount);
         }
-        let lack = match book.bucket.reserve(now, amount) {
+        let missing = match book.bucket.reserve(now, amount) {
             Ok(id) => {
                 book.want = None;
                 return Verdict::Granted(Reservation { organisation, id });
             }
-            Err(short) => short.lack,
+            Err(shortage) => shortage.missing,
         };
         let granting = self.is_granting(organisation);
         let wait = if granting { self.settings.grant_wait } else { self.settings.ask_wait };
         let until = since + wait;
-        let mut actions = self.ask_peers(now, organisation, lack);
+        let mut actions = self.ask_peers(now, organisation, missing);
         let asking = !actions.is_empty() || self.is_asking(now, organisation);
         if now >= until || !(asking || granting) {
-            return self.refuse(now, organisation, total, lack);
+            return self.refuse(now, organisation, total, missing);
         }
         self.book(now, organisation).want = Some((until, amount));
         actions.extend(due);
@@ -331,8 +331,8 @@
             let slack = self.slack_of(now, ask.organisation).into_iter().collect();
             return vec![self.send(from, Message::Slack(slack))];
         }
-        let rest = spare.saturating_sub(ask.lack);
-        let level = spare.min(ask.lack) + rest.scale(1, 4);
+        let rest = spare.saturating_sub(ask.missing);
+        let level = spare.min(ask.missing) + rest.scale(1, 4);
         let wanted = Share { rate: 0, capacity: level, level };
         vec![self.give(now, from, &[(ask.organisation, wanted)])]
     }
@@ -457,13 +457,13 @@
         now: Instant,
         organisation: OrganisationId,
         total: Total,
-        lack: Amount,
+        missing: Amount,
     ) -> Verdict {
         self.book(now, organisation).want = None;
         // Peers that come to have something are asked, so the whole
         // organisation's rate works towards what is missing.
         let known = self.known(now, organisation);
-        let retry_after = lack.saturating_sub(known).refill_time(total.rate);
+        let retry_after = missing.saturating_sub(known).refill_time(total.rate);
         Verdict::Refused { code: Code::OverRate, retry_after }
     }
 }
--- a/kingcupbay_core/tests/spec_share.rs
+++ b/kingcupbay_core/tests/spec_share.rs
@@ -279,8 +279,8 @@
         let before = self.entries[&giver].clone();
         let shares = self.entry(giver);
         let epoch = shares.epoch();
-        let lack = Amount::from_tokens(BURST);
-        let message = Message::Ask(Ask { organisation: organisation(), lack });
+        let missing = Amount::from_tokens(BURST);
+        let message = Message::Ask(Ask { organisation: organisation(), missing });
         let ask = Envelope { from: taker, to: giver, epoch, message };
         for action in shares.on_message(now, &ask) {
             let Action::Send(mut envelope) = action else { continue };
@@ -338,8 +338,8 @@
         let giver = self.entry(receipt.to);
         giver.on_message(now, &receipt);
         if self.fault == Fault::DeductLate {
-            let lack = Amount::from_tokens(BURST);
-            let message = Message::Ask(Ask { organisation: organisation(), lack });
+            let missing = Amount::from_tokens(BURST);
+            let message = Message::Ask(Ask { organisation: organisation(), missing });
             self.entry(receipt.to).on_message(now, &Envelope { message, ..receipt });
         }
     }
