--- a/kingcupbay_bench/src/share/shared.rs
+++ b/kingcupbay_bench/src/share/shared.rs
@@ -67,7 +67,7 @@
             Verdict::Granted(reservation) => {
                 Outcome::Granted(Ticket::Shared(self.holders[request.entry], reservation))
             }
-            Verdict::Short { actions, until } => {
+            Verdict::Pending { actions, until } => {
                 self.carry_out(world, request.entry, actions);
                 world.queue.push(until, Event::Wake(id));
                 Outcome::Waiting
@@ -166,7 +166,7 @@
                     world.score.table += u64::from(world.score.counts(world.now));
                     self.reports.push(report);
                 }
-                Action::Arrived(organisation) => world.wake(entry, organisation.raw() as usize),
+                Action::Retry(organisation) => world.wake(entry, organisation.raw() as usize),
             }
         }
     }
--- a/kingcupbay_core/src/share/rebalance.rs
+++ b/kingcupbay_core/src/share/rebalance.rs
@@ -151,7 +151,7 @@
         for record in slack {
             peer.slack.insert(record.organisation, (now, *record));
             if self.asked.remove(&(record.organisation, from)).is_some() {
-                actions.push(Action::Arrived(record.organisation));
+                actions.push(Action::Retry(record.organisation));
             }
         }
         actions
--- a/kingcupbay_core/src/share/shares.rs
+++ b/kingcupbay_core/src/share/shares.rs
@@ -51,8 +51,8 @@
     /// Write this to its row, once, until it is known to be there.
     Report(Report),
     /// Something came in: ask again for requests of this organisation that
-    /// were [`Verdict::Short`].
-    Arrived(OrganisationId),
+    /// were [`Verdict::Pending`].
+    Retry(OrganisationId),
 }
 
 /// Tokens taken for one request. It cannot be copied, so it is settled once.
@@ -68,8 +68,8 @@
     /// It may; settle the reservation at its end.
     Granted(Reservation),
     /// Perhaps peers have enough: carry out the actions, ask again at
-    /// [`Action::Arrived`], and at `until` at the latest.
-    Short {
+    /// [`Action::Retry`], and at `until` at the latest.
+    Pending {
         /// Questions to peers.
         actions: Vec<Action>,
         /// Ask again by then.
@@ -282,7 +282,7 @@
         }
         self.book(now, organisation).want = Some((until, amount));
         actions.extend(due);
-        Verdict::Short { actions, until }
+        Verdict::Pending { actions, until }
     }
 
     /// Ends a reservation of which `used` tokens were used.
@@ -375,7 +375,7 @@
             for part in parts {
                 self.add(now, part.organisation, part.share);
                 self.asked.remove(&(part.organisation, from));
-                actions.push(Action::Arrived(part.organisation));
+                actions.push(Action::Retry(part.organisation));
             }
         }
         let slack = parts.iter().filter_map(|part| self.slack_of(now, part.organisation));
@@ -447,7 +447,7 @@
         let mut actions = Vec::new();
         for (organisation, share) in due {
             self.add(now, organisation, share);
-            actions.push(Action::Arrived(organisation));
+            actions.push(Action::Retry(organisation));
         }
         actions
     }
--- a/kingcupbay_core/tests/share.rs
+++ b/kingcupbay_core/tests/share.rs
@@ -195,7 +195,7 @@
             match action {
                 Action::Send(envelope) => self.net.push(envelope),
                 Action::Report(report) => self.reports.push(report),
-                Action::Arrived(_) => {}
+                Action::Retry(_) => {}
             }
         }
         // What is beyond this is lost, the oldest first.
@@ -232,7 +232,7 @@
                 self.open.push((holder, reservation, self.charges.len(), tokens));
                 self.charges.push((now, Amount::from_tokens(tokens)));
             }
-            Verdict::Short { actions, .. } => self.carry_out(actions),
+            Verdict::Pending { actions, .. } => self.carry_out(actions),
             Verdict::Refused { .. } => {}
         }
     }
--- a/kingcupbayd/src/share/mod.rs
+++ b/kingcupbayd/src/share/mod.rs
@@ -43,7 +43,7 @@
     unwritten: RefCell<Option<Report>>,
     /// When the first epoch was entered.
     entered: RefCell<Option<Instant>>,
-    /// Told at [`Action::Arrived`].
+    /// Told at [`Action::Retry`].
     arrived: Notify,
     fleet: Rc<Fleet>,
     table: Table,
@@ -99,7 +99,7 @@
                     return Ok(Reservation { shares: self.clone(), inner: Some(inner), used: 0 });
                 }
                 Verdict::Refused { code, retry_after } => return Err(refusal(code, retry_after)),
-                Verdict::Short { actions, until } => {
+                Verdict::Pending { actions, until } => {
                     self.carry_out(actions);
                     until
                 }
@@ -158,7 +158,7 @@
             match action {
                 Action::Send(envelope) => envelopes.push(envelope),
                 Action::Report(report) => *self.unwritten.borrow_mut() = Some(report),
-                Action::Arrived(_) => self.arrived.notify_waiters(),
+                Action::Retry(_) => self.arrived.notify_waiters(),
             }
         }
         self.send(envelopes);
