--- a/kingcupbay_bench/src/share/shared.rs
+++ b/kingcupbay_bench/src/share/shared.rs
@@ -151,7 +151,7 @@
         let Some(shares) = &mut self.entries[entry] else {
             return;
         };
-        if world.table_up && shares.missing().next().is_some() {
+        if world.table_up && shares.missing_reports().next().is_some() {
             world.score.table += u64::from(world.score.counts(world.now));
             let actions = shares.on_reports(world.now, &self.reports);
             self.carry_out(world, entry, actions);
--- a/kingcupbay_core/src/share/shares.rs
+++ b/kingcupbay_core/src/share/shares.rs
@@ -23,22 +23,22 @@
     /// How long after a configuration is held by a majority a holder that it
     /// removed may still have standing: the freshness bound of `standing`,
     /// and what the clocks of two hosts may differ over it.
-    pub lapse: Span,
+    pub reclaim_delay: Span,
     /// Longest that a request waits for tokens of peers.
     pub ask_wait: Span,
     /// Longest that a request waits for the first grant of its organisation.
     pub grant_wait: Span,
     /// How long a transfer waits for its receipt before it is sent again.
-    pub resend: Span,
+    pub resend_after: Span,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            lapse: Span::from_secs(4),
+            reclaim_delay: Span::from_secs(4),
             ask_wait: Span::from_millis(20),
             grant_wait: Span::from_secs(1),
-            resend: Span::from_millis(100),
+            resend_after: Span::from_millis(100),
         }
     }
 }
@@ -158,13 +158,13 @@
     }
 
     /// Holders whose reports are still missing here; read their rows.
-    pub fn missing(&self) -> impl Iterator<Item = Holder> {
+    pub fn missing_reports(&self) -> impl Iterator<Item = Holder> {
         let holders = self.plan.holders.iter().copied();
         holders.filter(|holder| self.report.is_some() && !self.reports.contains_key(holder))
     }
 
     /// Whether this entry's grant of the epoch is known and taken.
-    pub fn is_settled(&self) -> bool {
+    pub fn has_grant(&self) -> bool {
         self.grant.as_ref().is_some_and(|grant| grant.reclaimed.is_empty())
     }
 
@@ -320,7 +320,7 @@
 
     /// Sends transfers without a receipt again.
     pub fn resend(&mut self, now: Instant) -> Vec<Action> {
-        let again = self.ledger.resend(now, self.settings.resend);
+        let again = self.ledger.resend(now, self.settings.resend_after);
         let send = |(peer, transfer)| self.send(peer, Message::Transfer(transfer));
         again.into_iter().map(send).collect()
     }
@@ -440,7 +440,8 @@
                 due.append(&mut grant.fresh);
             }
         }
-        let lapsed = self.in_force.is_some_and(|since| now.since(since) >= self.settings.lapse);
+        let lapsed =
+            self.in_force.is_some_and(|since| now.since(since) >= self.settings.reclaim_delay);
         if let Some(grant) = self.grant.as_mut().filter(|_| lapsed) {
             due.append(&mut grant.reclaimed);
         }
--- a/kingcupbay_core/tests/share.rs
+++ b/kingcupbay_core/tests/share.rs
@@ -115,10 +115,10 @@
 const STANDING: Span = Span::from_secs(1);
 
 const SETTINGS: Settings = Settings {
-    lapse: STANDING,
+    reclaim_delay: STANDING,
     ask_wait: Span::from_millis(20),
     grant_wait: Span::from_millis(50),
-    resend: Span::from_millis(100),
+    resend_after: Span::from_millis(100),
 };
 
 /// How long callers rest, and then do not: longer than the bucket fills.
--- a/kingcupbay_core/tests/spec_share.rs
+++ b/kingcupbay_core/tests/spec_share.rs
@@ -129,9 +129,10 @@
 impl World {
     /// A and B share the organisation, whose bucket is full.
     fn new(fault: Fault) -> World {
-        let lapse = if fault == Fault::NoLapse { 0 } else { LAPSE };
-        let lapse = Span::from_secs(lapse);
-        let settings = Settings { lapse, resend: Span::from_secs(99), ..Settings::default() };
+        let reclaim_delay = if fault == Fault::NoLapse { 0 } else { LAPSE };
+        let reclaim_delay = Span::from_secs(reclaim_delay);
+        let settings =
+            Settings { reclaim_delay, resend_after: Span::from_secs(99), ..Settings::default() };
         let now = at(1);
         let fresh = |holder| (holder, Rc::new(Shares::new(holder, settings)));
         let mut entries: BTreeMap<_, _> = [A, B, C].into_iter().map(fresh).collect();
@@ -195,7 +196,7 @@
             steps.push(Step::Learn);
         }
         for holder in [A, C].into_iter().filter(|_| self.reports().len() == 2) {
-            if self.entries[&holder].missing().next().is_some() {
+            if self.entries[&holder].missing_reports().next().is_some() {
                 steps.push(Step::ReadReports(holder));
             }
         }
--- a/kingcupbayd/src/share/epoch.rs
+++ b/kingcupbayd/src/share/epoch.rs
@@ -39,7 +39,7 @@
         if let Some(report) = unwritten {
             self.write(&report).await?;
         }
-        if self.core.borrow().missing().next().is_some() {
+        if self.core.borrow().missing_reports().next().is_some() {
             self.read().await?;
         }
         Ok(())
@@ -71,7 +71,7 @@
         let reports: Vec<Report> = rows.rows.iter().map(decode).collect();
         let actions = self.core.borrow_mut().on_reports(clock::now(), &reports);
         self.carry_out(actions);
-        if self.core.borrow().missing().next().is_none() {
+        if self.core.borrow().missing_reports().next().is_none() {
             self.clear(&rows.rows).await?;
         }
         Ok(())
--- a/kingcupbayd/src/share/mod.rs
+++ b/kingcupbayd/src/share/mod.rs
@@ -119,7 +119,7 @@
         let core = self.core.borrow();
         let holds = core.shares(now).any(|(_, share)| !share.is_empty());
         let waited = self.entered.borrow().is_some_and(|at| now.since(at) >= GRANT_WAIT);
-        holds || core.is_settled() || waited
+        holds || core.has_grant() || waited
     }
 
     /// The shares, one line each.
@@ -133,7 +133,7 @@
             format!("share organisation={name} rate={rate} capacity={capacity} level={level}\n")
         };
         let lines: String = core.shares(clock::now()).map(line).collect();
-        format!("shares epoch={} settled={}\n{lines}", core.epoch(), core.is_settled())
+        format!("shares epoch={} settled={}\n{lines}", core.epoch(), core.has_grant())
     }
 
     /// Enters the epoch of the configuration in use.
