--- a/kingcupbay_bench/src/share/shared.rs
+++ b/kingcupbay_bench/src/share/shared.rs
@@ -126,8 +126,8 @@
         let total = Total { rate: RATE, burst: self.burst };
         let totals = (0..organisations).map(|organisation| (key(organisation), total));
         let holders: BTreeSet<_> = self.holders.iter().copied().collect();
-        let left = Number(if epoch == 3 { 3 } else { 0 });
-        let plan = Plan { epoch: Number(epoch), holders, left, totals: totals.collect() };
+        let last_removal = Number(if epoch == 3 { 3 } else { 0 });
+        let plan = Plan { epoch: Number(epoch), holders, last_removal, totals: totals.collect() };
         for entry in 0..ENTRIES {
             let shares = self.entries[entry].as_mut().expect("all live when an epoch begins");
             let mut actions = shares.on_plan(world.now, plan.clone());
--- a/kingcupbay_core/src/share/plan.rs
+++ b/kingcupbay_core/src/share/plan.rs
@@ -30,16 +30,16 @@
     /// The entries.
     pub holders: BTreeSet<Holder>,
     /// The number at which an entry last left; zero when none ever has.
-    pub left: Number,
+    pub last_removal: Number,
     /// What each organisation may have.
     pub totals: BTreeMap<OrganisationId, Total>,
 }
 
 impl Plan {
     /// The plan that `config` contains.
-    pub fn of(config: &Config) -> Plan {
+    pub fn from_config(config: &Config) -> Plan {
         let holders = config.entries().into_iter().map(Holder).collect();
-        Plan { epoch: config.shares, holders, left: config.left, totals: config.totals() }
+        Plan { epoch: config.shares, holders, last_removal: config.left, totals: config.totals() }
     }
 }
 
@@ -142,7 +142,7 @@
 ) -> bool {
     let fresh = reports.values().any(|report| report.fresh.contains(&organisation));
     let used = reports.values().any(|report| report.used.contains(&organisation));
-    fresh || (plan.left == Number(0) && !used)
+    fresh || (plan.last_removal == Number(0) && !used)
 }
 
 fn unheld(
--- a/kingcupbay_core/tests/share.rs
+++ b/kingcupbay_core/tests/share.rs
@@ -172,8 +172,8 @@
         let totals = organisations.then_some(total).into_iter().collect();
         let holders = self.holders.iter().copied().collect();
         // From the third epoch on somebody has left.
-        let left = Number(if self.epoch > 2 { self.epoch } else { 0 });
-        Plan { epoch: Number(self.epoch), holders, left, totals }
+        let last_removal = Number(if self.epoch > 2 { self.epoch } else { 0 });
+        Plan { epoch: Number(self.epoch), holders, last_removal, totals }
     }
 
     fn begin_epoch(&mut self) {
--- a/kingcupbay_core/tests/spec_share.rs
+++ b/kingcupbay_core/tests/spec_share.rs
@@ -122,8 +122,8 @@
 fn plan(epoch: u64, holders: [Holder; 2], organisations: bool) -> Plan {
     let total = (organisation(), Total { rate: RATE, burst: BURST });
     let totals = organisations.then_some(total).into_iter().collect();
-    let left = Number(if epoch == 3 { 3 } else { 0 });
-    Plan { epoch: Number(epoch), holders: holders.into(), left, totals }
+    let last_removal = Number(if epoch == 3 { 3 } else { 0 });
+    Plan { epoch: Number(epoch), holders: holders.into(), last_removal, totals }
 }
 
 impl World {
--- a/kingcupbayd/src/share/mod.rs
+++ b/kingcupbayd/src/share/mod.rs
@@ -141,7 +141,7 @@
         let config = self.fleet.config();
         if config.shares > self.core.borrow().epoch() {
             info!(self.log, ""; "event" => "share_epoch", "epoch" => config.shares.0);
-            let actions = self.core.borrow_mut().on_plan(now, Plan::of(&config));
+            let actions = self.core.borrow_mut().on_plan(now, Plan::from_config(&config));
             if self.core.borrow().report().is_some() {
                 self.entered.borrow_mut().get_or_insert(now);
             }
