--- a/kingcupbay_core/src/share/amount.rs
+++ b/kingcupbay_core/src/share/amount.rs
@@ -8,7 +8,7 @@
 
 /// Micro-tokens in one token. A rate of one token a second is one micro-token
 /// a microsecond, so refills are exact and nothing is rounded.
-const MICROS: u64 = 1_000_000;
+const MICROS_PER_TOKEN: u64 = 1_000_000;
 
 /// An amount of tokens, in micro-tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -22,7 +22,7 @@
 
     /// `tokens` whole tokens.
     pub const fn from_tokens(tokens: u64) -> Amount {
-        Amount(tokens.saturating_mul(MICROS))
+        Amount(tokens.saturating_mul(MICROS_PER_TOKEN))
     }
 
     /// `micros` micro-tokens.
@@ -37,7 +37,7 @@
 
     /// The amount in whole tokens, rounded down.
     pub const fn as_tokens(self) -> u64 {
-        self.0 / MICROS
+        self.0 / MICROS_PER_TOKEN
     }
 
     /// What `rate` tokens a second yield in `span`.
--- a/kingcupbay_core/src/share/bucket.rs
+++ b/kingcupbay_core/src/share/bucket.rs
@@ -69,7 +69,7 @@
     /// Smallest headroom since each reservation: the first row at or after a
     /// reservation's number holds it. Invariant: headroom grows with the key,
     /// a row that a later one undercuts is dropped.
-    floors: BTreeMap<u64, Amount>,
+    least_headroom: BTreeMap<u64, Amount>,
 }
 
 impl Bucket {
@@ -99,7 +99,7 @@
     pub fn advance(&mut self, now: Instant) {
         self.share = self.share_at(now);
         self.at = self.at.max(now);
-        self.note();
+        self.record_headroom();
     }
 
     /// Takes `amount` out for a request.
@@ -123,17 +123,18 @@
         let Some(reserved) = self.open.remove(&id) else {
             return Amount::ZERO;
         };
-        let floor = self.floors.range(id.0..).next().map_or(Amount::ZERO, |(_, &floor)| floor);
+        let floor =
+            self.least_headroom.range(id.0..).next().map_or(Amount::ZERO, |(_, &floor)| floor);
         let back = reserved.saturating_sub(used).min(floor);
         // The headroom since is now smaller by what came back, for every
         // reservation that may be settled later. Without this two surpluses
         // would both claim the same headroom.
-        for (_, floor) in self.floors.range_mut(id.0..) {
+        for (_, floor) in self.least_headroom.range_mut(id.0..) {
             *floor -= back;
         }
         self.share.level += back;
-        self.restore();
-        self.forget();
+        self.drop_undercut_rows();
+        self.drop_unused_rows();
         back
     }
 
@@ -143,7 +144,7 @@
         self.share.rate += share.rate;
         self.share.capacity += share.capacity;
         self.share.level = (self.share.level + share.level).min(self.share.capacity);
-        self.note();
+        self.record_headroom();
     }
 
     /// Takes up to `wanted` out, and says how much it was. A level brings at
@@ -157,7 +158,7 @@
         self.share.capacity -= capacity;
         self.share.rate -= rate;
         self.share.level = self.share.level.min(self.share.capacity);
-        self.note();
+        self.record_headroom();
         Share { rate, capacity, level }
     }
 
@@ -168,7 +169,7 @@
         self.share.rate = scale(self.share.rate, to.rate, from.rate);
         self.share.capacity = self.share.capacity.scale(to.burst, from.burst);
         self.share.level = self.share.level.min(self.share.capacity);
-        self.note();
+        self.record_headroom();
     }
 
     fn shortage(&self, amount: Amount) -> Shortage {
@@ -179,27 +180,28 @@
     }
 
     /// Notes the headroom for all reservations made so far.
-    fn note(&mut self) {
+    fn record_headroom(&mut self) {
         let Some(last) = self.next.checked_sub(1).filter(|_| !self.open.is_empty()) else {
             return;
         };
         let headroom = self.share.capacity - self.share.level;
-        while let Some(row) = self.floors.last_entry()
+        while let Some(row) = self.least_headroom.last_entry()
             && *row.get() >= headroom
         {
             row.remove();
         }
-        self.floors.entry(last).or_insert(headroom);
+        self.least_headroom.entry(last).or_insert(headroom);
     }
 
     /// Drops rows that a later one undercuts after a settlement.
-    fn restore(&mut self) {
+    fn drop_undercut_rows(&mut self) {
         let mut least = None;
-        let rows: Vec<_> = self.floors.iter().rev().map(|(&key, &floor)| (key, floor)).collect();
+        let rows: Vec<_> =
+            self.least_headroom.iter().rev().map(|(&key, &floor)| (key, floor)).collect();
         for (key, floor) in rows {
             match least {
                 Some(least) if floor >= least => {
-                    self.floors.remove(&key);
+                    self.least_headroom.remove(&key);
                 }
                 _ => least = Some(floor),
             }
@@ -207,11 +209,11 @@
     }
 
     /// Drops rows that no open reservation can ask for.
-    fn forget(&mut self) {
+    fn drop_unused_rows(&mut self) {
         match self.open.first_key_value() {
-            Some((first, _)) => self.floors = self.floors.split_off(&first.0),
+            Some((first, _)) => self.least_headroom = self.least_headroom.split_off(&first.0),
             None => {
-                self.floors.clear();
+                self.least_headroom.clear();
                 self.next = 0;
             }
         }
--- a/kingcupbay_core/src/share/plan.rs
+++ b/kingcupbay_core/src/share/plan.rs
@@ -95,7 +95,7 @@
 
 /// The grant of `holder`, once all holders have reported; the rest of a
 /// division goes to the first ones, so that the grants sum to what is unheld.
-pub(crate) fn grant(
+pub(crate) fn compute_grant(
     plan: &Plan,
     reports: &BTreeMap<Holder, Report>,
     holder: Holder,
@@ -109,8 +109,8 @@
     for (&organisation, &total) in &plan.totals {
         let unheld = unheld(organisation, total, reports);
         let part = Holding {
-            rate: part(unheld.rate, plan.holders.len(), place),
-            capacity: Amount::from_micros(part(
+            rate: equal_part(unheld.rate, plan.holders.len(), place),
+            capacity: Amount::from_micros(equal_part(
                 unheld.capacity.as_micros(),
                 plan.holders.len(),
                 place,
@@ -159,7 +159,7 @@
     unheld
 }
 
-fn part(whole: u64, parts: usize, place: usize) -> u64 {
+fn equal_part(whole: u64, parts: usize, place: usize) -> u64 {
     let parts = parts as u64;
     whole / parts + u64::from((place as u64) < whole % parts)
 }
--- a/kingcupbay_core/src/share/shares.rs
+++ b/kingcupbay_core/src/share/shares.rs
@@ -7,7 +7,7 @@
     bucket::{Bucket, ReservationId, Share},
     ledger::Ledger,
     message::{Ask, Envelope, Message, Part, Transfer},
-    plan::{Grant, Holder, Plan, Report, grant},
+    plan::{Grant, Holder, Plan, Report, compute_grant},
     rebalance::{Demand, Peer},
 };
 use crate::{
@@ -86,13 +86,13 @@
 
 /// One organisation at this entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Book {
+pub(crate) struct Account {
     pub(crate) bucket: Bucket,
     /// Whether anything of it was ever held here.
     used: bool,
     pub(crate) demand: Demand,
     /// What a waiting request needs, and until when it waits.
-    pub(crate) want: Option<(Instant, Amount)>,
+    pub(crate) waiting: Option<(Instant, Amount)>,
 }
 
 /// The shares of one entry.
@@ -114,16 +114,16 @@
     in_force: Option<Instant>,
     /// What is due when old holders' standing has lapsed.
     grant: Option<Grant>,
-    pub(crate) books: BTreeMap<OrganisationId, Book>,
+    pub(crate) accounts: BTreeMap<OrganisationId, Account>,
     pub(crate) ledger: Ledger,
     pub(crate) peers: BTreeMap<Holder, Peer>,
     /// Questions without an answer, and when they were sent.
-    pub(crate) asked: BTreeMap<(OrganisationId, Holder), Instant>,
+    pub(crate) pending_asks: BTreeMap<(OrganisationId, Holder), Instant>,
     /// Holders that said they are stopping.
     pub(crate) leaving: BTreeSet<Holder>,
     pub(crate) stopping: bool,
     /// Peers told so far, where not all are told at each tick.
-    pub(crate) turn: usize,
+    pub(crate) rotation: usize,
 }
 
 impl Shares {
@@ -137,13 +137,13 @@
             reports: BTreeMap::new(),
             in_force: None,
             grant: None,
-            books: BTreeMap::new(),
+            accounts: BTreeMap::new(),
             ledger: Ledger::default(),
             peers: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            pending_asks: BTreeMap::new(),
             leaving: BTreeSet::new(),
             stopping: false,
-            turn: 0,
+            rotation: 0,
         }
     }
 
@@ -170,20 +170,23 @@
 
     /// Every organisation known here with its share as it is at `now`.
     pub fn shares(&self, now: Instant) -> impl Iterator<Item = (OrganisationId, Share)> {
-        self.books.iter().map(move |(&id, book)| (id, book.bucket.share_at(now)))
+        self.accounts.iter().map(move |(&id, account)| (id, account.bucket.share_at(now)))
     }
 
     /// Whether the division that may give this entry the first of an
     /// organisation is under way. The callers of a new organisation would be
     /// refused for as long as the reports travel.
     fn is_granting(&self, organisation: OrganisationId) -> bool {
-        let used = self.books.get(&organisation).is_some_and(|book| book.used);
+        let used = self.accounts.get(&organisation).is_some_and(|account| account.used);
         self.report.is_some() && self.grant.is_none() && !used
     }
 
     /// The share of an organisation as it is at `now`.
     pub fn share(&self, now: Instant, organisation: OrganisationId) -> Share {
-        self.books.get(&organisation).map(|book| book.bucket.share_at(now)).unwrap_or_default()
+        self.accounts
+            .get(&organisation)
+            .map(|account| account.bucket.share_at(now))
+            .unwrap_or_default()
     }
 
     /// What is on its way from here and not known to have arrived.
@@ -204,11 +207,11 @@
         self.in_force = None;
         self.grant = None;
         self.ledger = Ledger::default();
-        self.asked.clear();
+        self.pending_asks.clear();
         self.leaving.clear();
         self.peers.retain(|peer, _| self.plan.holders.contains(peer));
         if !self.plan.holders.contains(&self.me) {
-            self.books.clear();
+            self.accounts.clear();
             return Vec::new();
         }
         self.rescale(now, &before);
@@ -261,13 +264,13 @@
         // A grant may have come due; the action wakes requests that wait.
         let due = self.settle_grant(now);
         let amount = Amount::from_tokens(tokens);
-        let book = self.book(now, organisation);
+        let account = self.account(now, organisation);
         if now == since {
-            book.demand.count(amount);
+            account.demand.add(amount);
         }
-        let missing = match book.bucket.reserve(now, amount) {
+        let missing = match account.bucket.reserve(now, amount) {
             Ok(id) => {
-                book.want = None;
+                account.waiting = None;
                 return Verdict::Granted(Reservation { organisation, id });
             }
             Err(shortage) => shortage.missing,
@@ -280,16 +283,16 @@
         if now >= until || !(asking || granting) {
             return self.refuse(now, organisation, total, missing);
         }
-        self.book(now, organisation).want = Some((until, amount));
+        self.account(now, organisation).waiting = Some((until, amount));
         actions.extend(due);
         Verdict::Pending { actions, until }
     }
 
     /// Ends a reservation of which `used` tokens were used.
     pub fn settle(&mut self, now: Instant, reservation: Reservation, used: u64) {
-        if let Some(book) = self.books.get_mut(&reservation.organisation) {
-            let back = book.bucket.settle(now, reservation.id, Amount::from_tokens(used));
-            book.demand.uncount(back);
+        if let Some(account) = self.accounts.get_mut(&reservation.organisation) {
+            let back = account.bucket.settle(now, reservation.id, Amount::from_tokens(used));
+            account.demand.subtract(back);
         }
     }
 
@@ -306,10 +309,10 @@
             Message::Ask(ask) => self.on_ask(now, from, *ask),
             Message::Transfer(transfer) => self.on_transfer(now, from, transfer),
             Message::Receipt { seq, slack } => {
-                self.ledger.settle(from, *seq);
-                self.see(now, from, slack)
+                self.ledger.acknowledge(from, *seq);
+                self.record_slack(now, from, slack)
             }
-            Message::Slack(slack) => self.see(now, from, slack),
+            Message::Slack(slack) => self.record_slack(now, from, slack),
             Message::Leaving => {
                 self.leaving.insert(from);
                 self.peers.remove(&from);
@@ -326,32 +329,32 @@
     }
 
     fn on_ask(&mut self, now: Instant, from: Holder, ask: Ask) -> Vec<Action> {
-        let spare = self.spare(now, from, ask.organisation);
-        if spare == Amount::ZERO || !self.ledger.has_room(from) {
+        let spare = self.spare_level(now, from, ask.organisation);
+        if spare == Amount::ZERO || !self.ledger.can_send(from) {
             let slack = self.slack_of(now, ask.organisation).into_iter().collect();
             return vec![self.send(from, Message::Slack(slack))];
         }
         let rest = spare.saturating_sub(ask.missing);
         let level = spare.min(ask.missing) + rest.scale(1, 4);
         let wanted = Share { rate: 0, capacity: level, level };
-        vec![self.give(now, from, &[(ask.organisation, wanted)])]
+        vec![self.send_transfer(now, from, &[(ask.organisation, wanted)])]
     }
 
     /// What may be given to `from`. Two entries that are both short would
     /// hand the same tokens to and fro and both refuse; the lesser holder
     /// keeps what its waiting request needs, the greater one gives.
-    fn spare(&mut self, now: Instant, from: Holder, organisation: OrganisationId) -> Amount {
+    fn spare_level(&mut self, now: Instant, from: Holder, organisation: OrganisationId) -> Amount {
         let me = self.me;
-        let book = self.book(now, organisation);
-        let level = book.bucket.share_at(now).level;
-        match book.want {
+        let account = self.account(now, organisation);
+        let level = account.bucket.share_at(now).level;
+        match account.waiting {
             Some((until, want)) if now < until && me < from => level.saturating_sub(want),
             _ => level,
         }
     }
 
     /// Deducts shares here and sends them to `peer`.
-    pub(crate) fn give(
+    pub(crate) fn send_transfer(
         &mut self,
         now: Instant,
         peer: Holder,
@@ -359,10 +362,10 @@
     ) -> Action {
         let mut parts = Vec::new();
         for &(organisation, wanted) in wanted {
-            let share = self.book(now, organisation).bucket.take(now, wanted);
+            let share = self.account(now, organisation).bucket.take(now, wanted);
             parts.push(Part { organisation, share });
         }
-        let mut transfer = self.ledger.send(now, peer, parts);
+        let mut transfer = self.ledger.open_transfer(now, peer, parts);
         let slack = wanted.iter().filter_map(|&(id, _)| self.slack_of(now, id));
         transfer.slack = slack.collect();
         self.send(peer, Message::Transfer(transfer))
@@ -370,11 +373,11 @@
 
     fn on_transfer(&mut self, now: Instant, from: Holder, transfer: &Transfer) -> Vec<Action> {
         let Transfer { seq, floor, parts, slack } = transfer;
-        let mut actions = self.see(now, from, slack);
-        if self.ledger.take(from, *seq, *floor) {
+        let mut actions = self.record_slack(now, from, slack);
+        if self.ledger.accept(from, *seq, *floor) {
             for part in parts {
                 self.add(now, part.organisation, part.share);
-                self.asked.remove(&(part.organisation, from));
+                self.pending_asks.remove(&(part.organisation, from));
                 actions.push(Action::Retry(part.organisation));
             }
         }
@@ -388,36 +391,38 @@
         Action::Send(Envelope { from: self.me, to, epoch: self.plan.epoch, message })
     }
 
-    pub(crate) fn book(&mut self, now: Instant, organisation: OrganisationId) -> &mut Book {
-        self.books.entry(organisation).or_insert_with(|| Book {
+    pub(crate) fn account(&mut self, now: Instant, organisation: OrganisationId) -> &mut Account {
+        self.accounts.entry(organisation).or_insert_with(|| Account {
             bucket: Bucket::new(now, Share::default()),
             used: false,
             demand: Demand::new(now),
-            want: None,
+            waiting: None,
         })
     }
 
     fn add(&mut self, now: Instant, organisation: OrganisationId, share: Share) {
-        let book = self.book(now, organisation);
-        book.bucket.add(now, share);
-        book.used = true;
+        let account = self.account(now, organisation);
+        account.bucket.add(now, share);
+        account.used = true;
     }
 
     fn rescale(&mut self, now: Instant, before: &Plan) {
         let (old, new) = (&before.totals, &self.plan.totals);
-        self.books.retain(|organisation, _| new.contains_key(organisation));
-        for (organisation, book) in &mut self.books {
+        self.accounts.retain(|organisation, _| new.contains_key(organisation));
+        for (organisation, account) in &mut self.accounts {
             let from = old.get(organisation).copied().unwrap_or_default();
             let to = new[organisation];
             if from != to {
-                book.bucket.rescale(now, from, to);
+                account.bucket.rescale(now, from, to);
             }
         }
     }
 
     fn new_report(&self, before: &Plan) -> Report {
-        let holding = |(&id, book): (&OrganisationId, &Book)| (id, book.bucket.share().into());
-        let held = self.books.iter().map(holding).filter(|(_, held)| *held != Default::default());
+        let holding =
+            |(&id, account): (&OrganisationId, &Account)| (id, account.bucket.share().into());
+        let held =
+            self.accounts.iter().map(holding).filter(|(_, held)| *held != Default::default());
         let new = |id: &&OrganisationId| !before.totals.contains_key(id);
         // A newcomer cannot witness that an organisation is new.
         let held_before = before.holders.contains(&self.me);
@@ -426,7 +431,12 @@
             holder: self.me,
             epoch: self.plan.epoch,
             held: held.collect(),
-            used: self.books.iter().filter(|(_, book)| book.used).map(|(&id, _)| id).collect(),
+            used: self
+                .accounts
+                .iter()
+                .filter(|(_, account)| account.used)
+                .map(|(&id, _)| id)
+                .collect(),
             fresh: fresh.copied().collect(),
         }
     }
@@ -435,7 +445,7 @@
     pub(crate) fn settle_grant(&mut self, now: Instant) -> Vec<Action> {
         let mut due = BTreeMap::new();
         if self.grant.is_none() && self.report.is_some() {
-            self.grant = grant(&self.plan, &self.reports, self.me);
+            self.grant = compute_grant(&self.plan, &self.reports, self.me);
             if let Some(grant) = &mut self.grant {
                 due.append(&mut grant.fresh);
             }
@@ -460,10 +470,10 @@
         total: Total,
         missing: Amount,
     ) -> Verdict {
-        self.book(now, organisation).want = None;
+        self.account(now, organisation).waiting = None;
         // Peers that come to have something are asked, so the whole
         // organisation's rate works towards what is missing.
-        let known = self.known(now, organisation);
+        let known = self.total_peer_level(now, organisation);
         let retry_after = missing.saturating_sub(known).refill_time(total.rate);
         Verdict::Refused { code: Code::OverRate, retry_after }
     }
