--- a/kingcupbay_core/src/share/amount.rs
+++ b/kingcupbay_core/src/share/amount.rs
@@ -1,4 +1,4 @@
-//! An exact amount of tokens.
+//! Exact amounts of tokens.
 
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
@@ -6,47 +6,47 @@
 
 use crate::time::Span;
 
-/// Micro-tokens in one token. A rate of one token a second is one micro-token
-/// a microsecond, so refills are exact and nothing is rounded.
+/// Micro-tokens in one token. One token a second is one micro-token a
+/// microsecond, so refills are exact, without rounding.
 const MICROS_PER_TOKEN: u64 = 1_000_000;
 
-/// An amount of tokens, in micro-tokens.
+/// Amount of tokens, in micro-tokens. Sums saturate at the largest amount.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Amount(u64);
 
 impl Amount {
-    /// Nothing.
+    /// Zero tokens.
     pub const ZERO: Amount = Amount(0);
 
-    /// `tokens` whole tokens.
+    /// Creates an amount of `tokens` whole tokens.
     pub const fn from_tokens(tokens: u64) -> Amount {
         Amount(tokens.saturating_mul(MICROS_PER_TOKEN))
     }
 
-    /// `micros` micro-tokens.
+    /// Creates an amount of `micros` micro-tokens.
     pub const fn from_micros(micros: u64) -> Amount {
         Amount(micros)
     }
 
-    /// The amount in micro-tokens.
+    /// Returns the amount in micro-tokens.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The amount in whole tokens, rounded down.
+    /// Returns the amount in whole tokens, rounded down.
     pub const fn as_tokens(self) -> u64 {
         self.0 / MICROS_PER_TOKEN
     }
 
-    /// What `rate` tokens a second yield in `span`.
+    /// Returns the amount that `rate` tokens a second yield in `span`.
     pub const fn refill(rate: u64, span: Span) -> Amount {
         Amount(rate.saturating_mul(span.as_micros()))
     }
 
-    /// How long `rate` tokens a second take to yield this amount, rounded up;
-    /// `None` when they never do.
+    /// Returns the time in which `rate` tokens a second yield this amount, rounded
+    /// up to a microsecond; `None` if `rate` is zero.
     pub const fn refill_time(self, rate: u64) -> Option<Span> {
         match rate {
             0 => None,
@@ -54,18 +54,19 @@
         }
     }
 
-    /// This amount less `other`, zero when `other` is more.
+    /// Returns this amount less `other`, or zero if `other` is more.
     pub const fn saturating_sub(self, other: Amount) -> Amount {
         Amount(self.0.saturating_sub(other.0))
     }
 
-    /// This amount times `numerator / denominator`, rounded down.
+    /// Returns this amount times `numerator / denominator`, rounded down; zero for
+    /// a zero denominator.
     pub fn scale(self, numerator: u64, denominator: u64) -> Amount {
         Amount(scale(self.0, numerator, denominator))
     }
 }
 
-/// `value * numerator / denominator`, rounded down; zero for a zero
+/// Returns `value * numerator / denominator`, rounded down; zero for a zero
 /// denominator.
 pub(crate) fn scale(value: u64, numerator: u64, denominator: u64) -> u64 {
     if denominator == 0 {
--- a/kingcupbay_core/src/share/bucket.rs
+++ b/kingcupbay_core/src/share/bucket.rs
@@ -1,4 +1,4 @@
-//! One entry's part of an organisation's token bucket.
+//! Token bucket with one entry's share of an organisation.
 
 use std::collections::BTreeMap;
 
@@ -10,99 +10,106 @@
     time::{Instant, Span},
 };
 
-/// A part of an organisation's rate and burst. Over all entries and all
-/// messages on their way, each of the three fields sums to at most the
-/// organisation's.
+/// Part of an organisation's rate and burst.
+///
+/// Summed over all entries and all messages in flight, `rate` is at most the
+/// organisation's rate, and `capacity` and `level` are at most its burst.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Share {
-    /// Tokens a second.
+    /// Refill rate, in tokens a second.
     pub rate: u64,
-    /// Most the level may be.
+    /// Upper bound of the level.
     pub capacity: Amount,
-    /// What may be used at once. Invariant: at most `capacity`, also on its
-    /// way. If a level travelled without its capacity, the giver would fill
-    /// up again beside it and the organisation would hold more than its burst.
+    /// Tokens that may be used at once. Invariant: at most `capacity`, also in
+    /// flight. If a level were sent without its capacity, the sender would
+    /// refill meanwhile and the organisation would hold more than its burst.
     pub level: Amount,
 }
 
 impl Share {
-    /// Whether it holds nothing.
+    /// Returns whether all fields are zero.
     pub fn is_empty(&self) -> bool {
         *self == Share::default()
     }
 }
 
-/// Key of a reservation of one bucket, unique among those not settled.
+/// Identifier of a reservation, unique among the open ones of one bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ReservationId(u64);
 
-/// Not enough tokens here and now.
+/// Error of [`Bucket::reserve`]: the level is too low.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shortage {
-    /// What is missing.
+    /// Amount that is missing.
     pub missing: Amount,
-    /// When this bucket alone would have it; `None` when it never will.
+    /// Time until this bucket alone would have it; `None` when it never will.
     pub retry_after: Option<Span>,
 }
 
-/// A share that fills with time, and the reservations made from it.
+/// Share that refills with time, and the reservations made from it.
 ///
-/// Settling must not break the bound on any interval. Tokens given back late
-/// may have been filled up again in the meantime, so adding them, even capped
-/// by the capacity, would let burst be used twice. The bucket therefore
-/// answers as if only the used tokens had been reserved in the first place:
-/// the surplus would have stayed in the level since, cut wherever the bucket
-/// came closer to its capacity than that. What comes back is the least of the
-/// surplus and the smallest headroom (capacity less level) since.
+/// Settling a reservation must keep the bound of `burst + rate * t` on every
+/// interval. The bucket may have been refilled before unused tokens are given
+/// back, so adding them, even capped by the capacity, would let the burst be
+/// used twice. After a settlement the bucket therefore equals one that reserved
+/// only the used tokens in the first place: the surplus would have stayed in
+/// the level, cut off wherever the headroom (capacity less level) was smaller.
+/// So the amount given back is the lesser of the surplus and the least headroom
+/// since the reservation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Bucket {
     share: Share,
-    /// When `share.level` was last brought up to date.
-    at: Instant,
-    /// Reservations not settled yet.
+    /// Time at which `share.level` was last updated.
+    updated_at: Instant,
+    /// Amounts of the reservations that are not settled.
     open: BTreeMap<ReservationId, Amount>,
-    /// Number of the next reservation, above all in `open`; zero without any.
+    /// Number of the next reservation, above all in `open`; zero when `open` is
+    /// empty.
     next: u64,
-    /// Smallest headroom since each reservation: the first row at or after a
-    /// reservation's number holds it. Invariant: headroom grows with the key,
-    /// a row that a later one undercuts is dropped.
+    /// Least headroom since each reservation, in the first row at or after the
+    /// reservation's number. Invariant: headroom grows with the key, as a row is
+    /// dropped when a later one has less.
     least_headroom: BTreeMap<u64, Amount>,
 }
 
 impl Bucket {
     /// A bucket that holds `share` at `now`.
     pub fn new(now: Instant, share: Share) -> Bucket {
-        Bucket { share, at: now, ..Bucket::default() }
+        Bucket { share, updated_at: now, ..Bucket::default() }
     }
 
-    /// The share as it was when last brought up to date.
+    /// Returns the share at the last update.
     pub fn share(&self) -> Share {
         self.share
     }
 
-    /// The share as it is at `now`.
+    /// Returns the share at `now`.
     pub fn share_at(&self, now: Instant) -> Share {
-        let refill = Amount::refill(self.share.rate, now.since(self.at));
+        let refill = Amount::refill(self.share.rate, now.since(self.updated_at));
         let level = (self.share.level + refill).min(self.share.capacity);
         Share { level, ..self.share }
     }
 
-    /// Reservations that are not settled.
+    /// Returns the number of reservations that are not settled.
     pub fn open(&self) -> usize {
         self.open.len()
     }
 
-    /// Brings the level up to `now`. A clock that went back refills nothing.
+    /// Updates the level to `now`. A clock that went back refills nothing.
     pub fn advance(&mut self, now: Instant) {
         self.share = self.share_at(now);
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
         self.record_headroom();
     }
 
-    /// Takes `amount` out for a request.
+    /// Reserves `amount` for a request.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`Shortage`] if the level at `now` is less than `amount`.
     pub fn reserve(&mut self, now: Instant, amount: Amount) -> Result<ReservationId, Shortage> {
         self.advance(now);
         if amount > self.share.level {
@@ -115,9 +122,9 @@
         Ok(id)
     }
 
-    /// Ends a reservation of which `used` was used, and returns what came
-    /// back into the level. Use beyond the reservation is the caller's to
-    /// prevent and is not charged.
+    /// Ends a reservation of which `used` was used, and returns the amount given
+    /// back to the level. Use beyond the reservation is not charged; the caller
+    /// prevents it.
     pub fn settle(&mut self, now: Instant, id: ReservationId, used: Amount) -> Amount {
         self.advance(now);
         let Some(reserved) = self.open.remove(&id) else {
@@ -126,9 +133,9 @@
         let floor =
             self.least_headroom.range(id.0..).next().map_or(Amount::ZERO, |(_, &floor)| floor);
         let back = reserved.saturating_sub(used).min(floor);
-        // The headroom since is now smaller by what came back, for every
-        // reservation that may be settled later. Without this two surpluses
-        // would both claim the same headroom.
+        // Reduces the headroom since this reservation by the amount given back.
+        // Otherwise the surpluses of two reservations would both use the same
+        // headroom.
         for (_, floor) in self.least_headroom.range_mut(id.0..) {
             *floor -= back;
         }
@@ -138,7 +145,7 @@
         back
     }
 
-    /// Adds a share that came from elsewhere.
+    /// Adds a share received from a peer or a grant.
     pub fn add(&mut self, now: Instant, share: Share) {
         self.advance(now);
         self.share.rate += share.rate;
@@ -147,8 +154,9 @@
         self.record_headroom();
     }
 
-    /// Takes up to `wanted` out, and says how much it was. A level brings at
-    /// least as much capacity along, and what is left fits the capacity left.
+    /// Removes and returns a share of up to `wanted`. At least as much capacity
+    /// as level is removed, and the remaining level is capped by the remaining
+    /// capacity.
     pub fn take(&mut self, now: Instant, wanted: Share) -> Share {
         self.advance(now);
         let level = wanted.level.min(self.share.level);
@@ -162,8 +170,8 @@
         Share { rate, capacity, level }
     }
 
-    /// Follows a change of the organisation's rate and burst in proportion.
-    /// Rounded down at every entry, the sum fits the new total.
+    /// Scales the share in proportion to a change of the organisation's rate and
+    /// burst. Every entry rounds down, so the sum does not exceed the new total.
     pub fn rescale(&mut self, now: Instant, from: Total, to: Total) {
         self.advance(now);
         self.share.rate = scale(self.share.rate, to.rate, from.rate);
@@ -179,7 +187,7 @@
         Shortage { missing, retry_after: wait.filter(|_| reachable) }
     }
 
-    /// Notes the headroom for all reservations made so far.
+    /// Records the current headroom for all reservations made so far.
     fn record_headroom(&mut self) {
         let Some(last) = self.next.checked_sub(1).filter(|_| !self.open.is_empty()) else {
             return;
@@ -193,7 +201,8 @@
         self.least_headroom.entry(last).or_insert(headroom);
     }
 
-    /// Drops rows that a later one undercuts after a settlement.
+    /// Drops rows whose headroom is not less than a later row's, which a
+    /// settlement can cause.
     fn drop_undercut_rows(&mut self) {
         let mut least = None;
         let rows: Vec<_> =
@@ -208,7 +217,7 @@
         }
     }
 
-    /// Drops rows that no open reservation can ask for.
+    /// Drops rows before the first open reservation, which are never read.
     fn drop_unused_rows(&mut self) {
         match self.open.first_key_value() {
             Some((first, _)) => self.least_headroom = self.least_headroom.split_off(&first.0),
--- a/kingcupbay_core/src/share/ledger.rs
+++ b/kingcupbay_core/src/share/ledger.rs
@@ -1,4 +1,6 @@
-//! Transfers under way: each is added once, however often it arrives.
+//! Ledger of sent and received transfers.
+//!
+//! A transfer may arrive more than once; the ledger accepts it only once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,11 +10,11 @@
 };
 use crate::time::{Instant, Span};
 
-/// Most transfers to one peer from the oldest without a receipt on. A peer
-/// that does not answer must not draw in allowance without end.
+/// Most transfers to one peer, counted from the oldest without a receipt. It
+/// bounds the allowance that is sent to a peer that does not answer.
 const OPEN_TRANSFERS_MAX: u64 = 16;
 
-/// Transfers of one epoch, sent and taken.
+/// Transfers of one epoch, sent and accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Ledger {
     outgoing: BTreeMap<Holder, Outgoing>,
@@ -22,47 +24,47 @@
 /// Transfers to one peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Outgoing {
-    /// Sequence number of the next one.
+    /// Sequence number of the next transfer.
     next: u64,
-    /// Those without a receipt, and when each was last sent.
+    /// Transfers without a receipt: the time each was last sent, and its parts.
     open: BTreeMap<u64, (Instant, Vec<Part>)>,
 }
 
 /// Transfers from one peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Incoming {
-    /// The peer settled every number below.
+    /// The peer has a receipt for every number below.
     floor: u64,
-    /// Numbers taken at or above `floor`: fewer than `OPEN_TRANSFERS_MAX`, as the
-    /// peer goes no further beyond its oldest open one.
+    /// Accepted numbers at or above `floor`: at most `OPEN_TRANSFERS_MAX`, as the
+    /// peer opens no transfer further beyond its oldest open one.
     seqs: BTreeSet<u64>,
 }
 
 impl Ledger {
-    /// Whether another transfer to `peer` may be begun.
+    /// Returns whether another transfer to `peer` may be opened.
     pub(crate) fn can_send(&self, peer: Holder) -> bool {
         self.outgoing
             .get(&peer)
             .is_none_or(|outgoing| outgoing.next - outgoing.floor() < OPEN_TRANSFERS_MAX)
     }
 
-    /// Whether every transfer to `peer` has its receipt.
+    /// Returns whether `peer` has acknowledged every transfer to it.
     pub(crate) fn all_acknowledged_by(&self, peer: Holder) -> bool {
         self.outgoing.get(&peer).is_none_or(|outgoing| outgoing.open.is_empty())
     }
 
-    /// Whether every transfer has its receipt.
+    /// Returns whether every transfer is acknowledged.
     pub(crate) fn all_acknowledged(&self) -> bool {
         self.outgoing.values().all(|outgoing| outgoing.open.is_empty())
     }
 
-    /// What is in transfers without a receipt.
+    /// Returns the parts of all transfers without a receipt.
     pub(crate) fn outstanding(&self) -> impl Iterator<Item = &Part> {
         let open = self.outgoing.values().flat_map(|outgoing| outgoing.open.values());
         open.flat_map(|(_, parts)| parts)
     }
 
-    /// Enters a transfer whose parts are already deducted.
+    /// Opens a transfer whose parts have already been deducted.
     pub(crate) fn open_transfer(
         &mut self,
         now: Instant,
@@ -76,8 +78,9 @@
         outgoing.transfer(seq).expect("just entered")
     }
 
-    /// The transfers sent `wait` ago or longer, to be sent again. A lost one
-    /// would take its allowance out of use until the next epoch.
+    /// Returns the open transfers that were last sent `wait` ago or longer, to be
+    /// sent again. The allowance of a lost one would otherwise be out of use until
+    /// the next epoch.
     pub(crate) fn resend(&mut self, now: Instant, wait: Span) -> Vec<(Holder, Transfer)> {
         let mut again = Vec::new();
         for (&peer, outgoing) in &mut self.outgoing {
@@ -93,15 +96,16 @@
         again
     }
 
-    /// The receipt of `seq` came from `peer`.
+    /// Closes the transfer `seq`, for which a receipt came from `peer`.
     pub(crate) fn acknowledge(&mut self, peer: Holder, seq: u64) {
         if let Some(outgoing) = self.outgoing.get_mut(&peer) {
             outgoing.open.remove(&seq);
         }
     }
 
-    /// Whether the transfer `seq` from `peer` is to be added: only the first
-    /// time. Doubled messages would otherwise make allowance.
+    /// Records the transfer `seq` from `peer` and returns whether to add it, which
+    /// is so only the first time. Duplicate messages would otherwise create
+    /// allowance.
     pub(crate) fn accept(&mut self, peer: Holder, seq: u64, floor: u64) -> bool {
         let incoming = self.incoming.entry(peer).or_default();
         if floor > incoming.floor {
--- a/kingcupbay_core/src/share/message.rs
+++ b/kingcupbay_core/src/share/message.rs
@@ -1,21 +1,23 @@
-//! Messages between entries about shares: `POST /peer/share`, MessagePack.
+//! Messages between entries about shares, sent as MessagePack with
+//! `POST /peer/share`.
 
 use serde::{Deserialize, Serialize};
 
 use super::{amount::Amount, bucket::Share, plan::Holder};
 use crate::id::{Number, OrganisationId};
 
-/// A message and its frame. Any may be lost, doubled, late or crossed.
+/// Message with its sender, receiver and epoch. Any message may be lost,
+/// duplicated, delayed or reordered.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Envelope {
-    /// Who sends it.
+    /// Sender.
     pub from: Holder,
-    /// Whom it is for; a successor on the same address drops it.
+    /// Receiver; a successor on the same address drops the message.
     pub to: Holder,
-    /// The sender's epoch. Shares move within one epoch only.
+    /// Epoch of the sender. Shares move within one epoch only.
     pub epoch: Number,
-    /// The content.
+    /// Content.
     pub message: Message,
 }
 
@@ -23,52 +25,52 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum Message {
-    /// The sender cannot admit a request with what it has.
+    /// Asks for tokens: the sender cannot admit a request with its own.
     Ask(Ask),
-    /// Shares for the receiver, already deducted at the sender.
+    /// Moves shares to the receiver; the sender has already deducted them.
     Transfer(Transfer),
-    /// The transfer with this sequence number was taken.
+    /// Acknowledges a transfer.
     Receipt {
-        /// Its sequence number.
+        /// Sequence number of the transfer.
         seq: u64,
-        /// What the sender of the receipt has by now.
+        /// Slack of the receipt's sender, for the organisations of the transfer.
         slack: Vec<Slack>,
     },
-    /// What the sender has and needs.
+    /// Reports the slack of the sender.
     Slack(Vec<Slack>),
-    /// The sender is stopping and wants no shares.
+    /// Announces that the sender is stopping and takes no more shares.
     Leaving,
 }
 
-/// A request for tokens of one organisation.
+/// Request for tokens of one organisation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Ask {
-    /// Whose tokens.
+    /// Organisation whose tokens are needed.
     pub organisation: OrganisationId,
-    /// How many are missing.
+    /// Amount that is missing.
     #[serde(rename = "lack")]
     pub missing: Amount,
 }
 
-/// Shares on their way.
+/// Shares sent from one entry to another.
 ///
-/// Invariant: a sequence number is used once for each receiver, and a repeat
-/// of it carries the same parts.
+/// Invariant: a sequence number is used for one transfer to a receiver only, and
+/// a repeat of it carries the same parts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Transfer {
     /// Sequence number from this sender to this receiver in this epoch.
     pub seq: u64,
-    /// Every number below this one is settled: the receiver forgets them.
+    /// Lowest number without a receipt; the receiver forgets all numbers below.
     pub floor: u64,
-    /// The shares.
+    /// Shares, by organisation.
     pub parts: Vec<Part>,
-    /// What the sender has left.
+    /// Slack of the sender after the transfer.
     pub slack: Vec<Slack>,
 }
 
-/// A share of one organisation in a [`Transfer`].
+/// Share of one organisation in a [`Transfer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Part {
@@ -78,15 +80,15 @@
     pub share: Share,
 }
 
-/// What an entry has and needs of one organisation. Only organisations with
-/// demand travel.
+/// Share and demand of one organisation at an entry, from which peers see where
+/// tokens can be spared. Ticks leave out organisations without demand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Slack {
     /// The organisation.
     pub organisation: OrganisationId,
-    /// Tokens a second that its callers used lately.
+    /// Recent use by its callers at this entry, in tokens a second.
     pub demand: u64,
-    /// Its share.
+    /// Share of it that the entry holds.
     pub share: Share,
 }
--- a/kingcupbay_core/src/share/mod.rs
+++ b/kingcupbay_core/src/share/mod.rs
@@ -1,7 +1,8 @@
-//! Rate and burst of an organisation, divided over entries and conserved.
+//! Division of an organisation's rate and burst over all entries.
 //!
 //! Each entry holds a [`bucket::Share`] of every organisation: a part of its
-//! rate, of its burst and of what may be used at once.
+//! rate, of its burst and of the tokens that may be used at once. The parts
+//! never sum to more than the organisation's rate and burst.
 
 pub mod amount;
 pub mod bucket;
--- a/kingcupbay_core/src/share/plan.rs
+++ b/kingcupbay_core/src/share/plan.rs
@@ -1,4 +1,4 @@
-//! Who may hold shares in an epoch, and how unheld allowance is granted.
+//! Holders of shares in an epoch, and grants of the allowance nobody holds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,46 +10,47 @@
     id::{Number, OrganisationId},
 };
 
-/// Prefix of the rows that hold reports; see [`report_key`].
+/// Prefix of the keys of rows with reports; see [`report_key`].
 pub const REPORT_PREFIX: &str = "share/report/";
 
-/// The incarnation of an entry that holds shares.
+/// Incarnation of an entry that holds shares.
 ///
-/// Requirement: an incarnation that left the configuration never joins again.
-/// It would come back with what was granted to others meanwhile.
+/// Requirement: an incarnation that left the configuration never joins again,
+/// as it would still hold shares that have been granted to others since.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Holder(pub u64);
 
-/// What a configuration says about shares.
+/// Part of a configuration that concerns shares.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Plan {
-    /// The epoch: the number that last changed any of the other fields.
+    /// Epoch: number of the configuration that last changed any other field.
     pub epoch: Number,
-    /// The entries.
+    /// Entries that hold shares.
     pub holders: BTreeSet<Holder>,
-    /// The number at which an entry last left; zero when none ever has.
+    /// Number of the configuration in which an entry last left; zero when none
+    /// ever has.
     pub last_removal: Number,
-    /// What each organisation may have.
+    /// Rate and burst of each organisation.
     pub totals: BTreeMap<OrganisationId, Total>,
 }
 
 impl Plan {
-    /// The plan that `config` contains.
+    /// Returns the plan that `config` contains.
     pub fn from_config(config: &Config) -> Plan {
         let holders = config.entries().into_iter().map(Holder).collect();
         Plan { epoch: config.shares, holders, last_removal: config.left, totals: config.totals() }
     }
 }
 
-/// The conserved part of a [`Share`].
+/// Conserved part of a [`Share`]: all but the level, which changes with time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Holding {
-    /// Tokens a second.
+    /// Refill rate, in tokens a second.
     pub rate: u64,
-    /// Most the level may be.
+    /// Upper bound of the level.
     pub capacity: Amount,
 }
 
@@ -59,42 +60,47 @@
     }
 }
 
-/// What one holder held when it entered an epoch. Invariant: a holder makes
-/// one report for an epoch, writes it to its row and never changes it, so
-/// everybody computes the same grants from the same reports.
+/// Shares that one holder held when it entered an epoch.
+///
+/// Invariant: a holder makes one report for an epoch, writes it to its row and
+/// never changes it, so all entries compute the same grants from the same
+/// reports.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Report {
-    /// Whose report.
+    /// Holder that made the report.
     pub holder: Holder,
-    /// The epoch entered.
+    /// Epoch that it entered.
     pub epoch: Number,
-    /// What it held; nothing of organisations not listed.
+    /// Rate and capacity that it held; organisations not listed had none.
     pub held: BTreeMap<OrganisationId, Holding>,
-    /// Organisations of which it ever held anything.
+    /// Organisations of which it ever held a share.
     pub used: BTreeSet<OrganisationId>,
-    /// Organisations that were not there in its epoch before. It reported to
-    /// every epoch between, so no grant of them can have been made: they
-    /// start with their whole burst, and at once.
+    /// Organisations that did not exist in the holder's previous epoch. Grants
+    /// need the reports of all holders, and it made none in between, so none of
+    /// these organisations can have been granted yet: they start at once and
+    /// with their whole burst.
     pub fresh: BTreeSet<OrganisationId>,
 }
 
-/// Key of the row that holds the report of `holder`.
+/// Returns the key of the row that holds the report of `holder`.
 pub fn report_key(holder: Holder) -> String {
     format!("{REPORT_PREFIX}{:016x}", holder.0)
 }
 
-/// What one holder gets of the allowance that nobody reported.
+/// One holder's part of the allowance that no report lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Grant {
-    /// What may be used at once.
+    /// Shares that may be used at once.
     pub(crate) fresh: BTreeMap<OrganisationId, Share>,
-    /// What an old holder may still use: given when its standing has lapsed.
+    /// Shares that a former holder may still use; added when its standing has
+    /// lapsed.
     pub(crate) reclaimed: BTreeMap<OrganisationId, Share>,
 }
 
-/// The grant of `holder`, once all holders have reported; the rest of a
-/// division goes to the first ones, so that the grants sum to what is unheld.
+/// Returns the grant of `holder`; `None` until all holders have reported. The
+/// remainder of a division goes to the first holders, so that the grants sum to
+/// the unheld allowance.
 pub(crate) fn compute_grant(
     plan: &Plan,
     reports: &BTreeMap<Holder, Report>,
@@ -124,8 +130,9 @@
             let share = Share { rate, capacity, level: capacity };
             grant.fresh.insert(organisation, share);
         } else {
-            // The old holder's last admissions may lie just behind, so the
-            // level starts at zero: what it left is lost, never used twice.
+            // The former holder may have admitted requests until just now, so
+            // the level starts at zero: tokens that it left unused are lost,
+            // but none are used twice.
             let share = Share { rate, capacity, level: Amount::ZERO };
             grant.reclaimed.insert(organisation, share);
         }
@@ -133,8 +140,9 @@
     Some(grant)
 }
 
-/// Whether nothing of an organisation was ever admitted: a holder witnesses
-/// that it is new, or nobody ever held any of it and no entry ever left.
+/// Returns whether no request of an organisation was ever admitted: a holder
+/// reports that it is new, or no holder ever held a share of it and no entry ever
+/// left.
 fn is_unused(
     plan: &Plan,
     reports: &BTreeMap<Holder, Report>,
@@ -145,6 +153,7 @@
     fresh || (plan.last_removal == Number(0) && !used)
 }
 
+/// Returns the rate and capacity of an organisation that no report lists.
 fn unheld(
     organisation: OrganisationId,
     total: Total,
@@ -159,6 +168,8 @@
     unheld
 }
 
+/// Returns part number `place` of `whole` divided into `parts` equal parts; the
+/// first parts get the remainder.
 fn equal_part(whole: u64, parts: usize, place: usize) -> u64 {
     let parts = parts as u64;
     whole / parts + u64::from((place as u64) < whole % parts)
--- a/kingcupbay_core/src/share/rebalance.rs
+++ b/kingcupbay_core/src/share/rebalance.rs
@@ -1,4 +1,4 @@
-//! Where shares move: to entries whose callers use them.
+//! Rebalancing of shares towards the entries whose callers use them.
 
 use std::{collections::BTreeMap, ops::Add};
 
@@ -14,38 +14,43 @@
     time::{Instant, Span},
 };
 
-/// A peer not heard for this long is neither given to nor counted on; it may
-/// be dead, and what it holds is out of use until the next epoch.
+/// Time without a message after which a peer gets no shares and takes no part
+/// in rebalancing. It may be dead, and what a dead peer holds is out of use until
+/// the next epoch.
 const PEER_TIMEOUT: Span = Span::from_secs(3);
 
-/// Most peers told at one tick; the others follow in turn. With each entry
-/// telling each other one, the bytes of one host would grow with the fleet.
-/// At 40 entries and two ticks a second a peer is heard every 2.5 s, within
-/// [`PEER_TIMEOUT`].
+/// Most peers that get the slack at one tick; the others follow at later ticks.
+/// If each entry sent to all others, the traffic of one host would grow with the
+/// number of entries. At 40 entries and two ticks a second each peer gets a
+/// message every 2.5 s, within [`PEER_TIMEOUT`].
 const RECIPIENTS_MAX: usize = 8;
 
-/// A record is trusted for this long to say that asking is in vain. Without
-/// it an organisation far over its rate would cause questions to every peer
-/// for every request.
+/// Age up to which a peer's slack can show that the peer has no tokens to ask
+/// for. Otherwise an organisation far over its rate would cause a message to
+/// every peer for every request.
 const FRESH_RECORD_AGE: Span = Span::from_millis(100);
 
-/// Demand is averaged over spans at least this long.
+/// Shortest period over which one sample of the demand is taken.
 const SAMPLE_PERIOD_MIN: Span = Span::from_millis(200);
 
-/// Differences below this part of the whole stay, so that noise moves nothing.
+/// Divisor of the total: an excess of at most this fraction is not moved, so
+/// that noise does not cause transfers.
 const DEAD_BAND_DIVISOR: u64 = 24;
 
-/// Tokens a second that callers of one organisation use here.
+/// Average use of tokens by callers of one organisation at this entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Demand {
+    /// Moving average, in tokens a second.
     rate: u64,
+    /// Tokens used since the last sample.
     used: Amount,
-    at: Instant,
+    /// Time of the last sample.
+    sampled_at: Instant,
 }
 
 impl Demand {
     pub(crate) fn new(now: Instant) -> Demand {
-        Demand { rate: 0, used: Amount::ZERO, at: now }
+        Demand { rate: 0, used: Amount::ZERO, sampled_at: now }
     }
 
     pub(crate) fn add(&mut self, amount: Amount) {
@@ -56,14 +61,15 @@
         self.used = self.used.saturating_sub(amount);
     }
 
-    /// Moves the average a quarter of the way to the last sample.
+    /// Takes a sample once its period is over and moves the average a quarter of
+    /// the way towards it.
     fn sample(&mut self, now: Instant) {
-        let span = now.since(self.at);
+        let span = now.since(self.sampled_at);
         if span >= SAMPLE_PERIOD_MIN {
             let rate = self.used.as_micros() / span.as_micros();
             self.rate = (3 * self.rate + rate).div_ceil(4);
             self.used = Amount::ZERO;
-            self.at = now;
+            self.sampled_at = now;
         }
         if self.rate == 1 && self.used == Amount::ZERO {
             self.rate = 0;
@@ -71,14 +77,14 @@
     }
 }
 
-/// What is known of one peer.
+/// Last messages of one peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
     last_seen: Instant,
     slack: BTreeMap<OrganisationId, (Instant, Slack)>,
 }
 
-/// One entry in a rebalancing.
+/// Entry that takes part in the rebalancing of one organisation.
 #[derive(Clone, Copy)]
 struct Participant {
     holder: Holder,
@@ -87,8 +93,8 @@
 }
 
 impl Shares {
-    /// What this entry has and needs, for its peers. Organisations without
-    /// demand anywhere do not travel.
+    /// Returns the share and demand of every organisation at this entry, for its
+    /// peers. Organisations without demand here and at all peers are left out.
     pub fn slack(&self, now: Instant) -> Vec<Slack> {
         let wanted = |id: &OrganisationId| {
             self.peers.values().any(|peer| peer.slack.get(id).is_some_and(|s| s.1.demand > 0))
@@ -97,8 +103,8 @@
         all.filter(|slack| slack.demand > 0 || wanted(&slack.organisation)).collect()
     }
 
-    /// Periodic work: samples demand, tells peers, sends lost transfers
-    /// again and moves shares towards demand.
+    /// Does the periodic work: samples demand, sends slack to peers, sends
+    /// transfers without a receipt again and moves shares towards demand.
     pub fn on_tick(&mut self, now: Instant) -> Vec<Action> {
         let mut actions = self.settle_grant(now);
         actions.extend(self.resend(now));
@@ -118,8 +124,9 @@
         actions
     }
 
-    /// Begins a planned stop: every share goes to peers that stay. Call
-    /// [`on_tick`](Shares::on_tick) until [`is_empty`](Shares::is_empty).
+    /// Begins a planned stop, in which every share goes to peers that stay. The
+    /// caller calls [`on_tick`](Shares::on_tick) until
+    /// [`is_empty`](Shares::is_empty).
     pub fn on_stop(&mut self, now: Instant) -> Vec<Action> {
         self.stopping = true;
         let leave = |peer| self.send(peer, Message::Leaving);
@@ -128,7 +135,8 @@
         actions
     }
 
-    /// Whether nothing is held or on its way from here.
+    /// Returns whether this entry holds nothing and every transfer is
+    /// acknowledged.
     pub fn is_empty(&self) -> bool {
         let empty = self.accounts.values().all(|account| account.bucket.share().is_empty());
         empty && self.ledger.all_acknowledged()
@@ -140,7 +148,7 @@
         Some(Slack { organisation, demand: account.demand.rate, share })
     }
 
-    /// Takes in records of a peer; an answered question is no longer open.
+    /// Records the slack of a peer and closes the asks that it answers.
     pub(crate) fn record_slack(
         &mut self,
         now: Instant,
@@ -162,7 +170,7 @@
         actions
     }
 
-    /// Whether an answer to a question is still awaited.
+    /// Returns whether an ask for the organisation still waits for its answer.
     pub(crate) fn is_asking(&self, now: Instant, organisation: OrganisationId) -> bool {
         let first = (organisation, Holder(0));
         let last = (organisation, Holder(u64::MAX));
@@ -170,8 +178,10 @@
         open.any(|(_, &at)| now.since(at) < self.settings.ask_wait)
     }
 
-    /// Questions to the peers that should have what is lacking, the richest
-    /// first. A peer that was asked and has not answered is not asked again.
+    /// Asks the peers that should have the missing tokens, those with the
+    /// highest estimated level first. A peer is not asked again while an ask to
+    /// it is pending. Asks nobody when fresh records show that all candidates
+    /// together have less than is missing.
     pub(crate) fn ask_peers(
         &mut self,
         now: Instant,
@@ -207,7 +217,7 @@
         actions
     }
 
-    /// What peers should have.
+    /// Returns the sum of the levels that peers should have at `now`.
     pub(crate) fn total_peer_level(&self, now: Instant, organisation: OrganisationId) -> Amount {
         let levels = self
             .active_peers()
@@ -216,8 +226,8 @@
         levels.fold(Amount::ZERO, Amount::add)
     }
 
-    /// What `peer` should have by now, and whether that is well known. A peer
-    /// that never told is taken to have an equal part.
+    /// Estimates the level of `peer` at `now`, and whether its record is fresh.
+    /// A peer without a record is assumed to have an equal part of the burst.
     fn estimate_level(
         &self,
         now: Instant,
@@ -239,7 +249,7 @@
         }
     }
 
-    /// The peers that are told at this tick.
+    /// Returns the peers that get this entry's slack at this tick.
     fn next_recipients(&mut self) -> Vec<Holder> {
         let mut peers = self.active_peers();
         if peers.len() > RECIPIENTS_MAX {
@@ -251,17 +261,17 @@
         peers
     }
 
-    /// Holders other than this one that are not stopping.
+    /// Returns the holders other than this one that are not stopping.
     fn active_peers(&self) -> Vec<Holder> {
         let others = self.plan.holders.iter().copied();
         others.filter(|&peer| peer != self.me && !self.leaving.contains(&peer)).collect()
     }
 
-    /// Peers that were heard lately.
+    /// Returns the active peers that sent a message within [`PEER_TIMEOUT`].
     fn live_peers(&self, now: Instant) -> Vec<Holder> {
         let seen = |peer: &Holder| self.peers.get(peer).map(|peer| peer.last_seen);
-        let heard = |peer: &Holder| seen(peer).is_some_and(|seen| now.since(seen) < PEER_TIMEOUT);
-        self.active_peers().into_iter().filter(heard).collect()
+        let live = |peer: &Holder| seen(peer).is_some_and(|seen| now.since(seen) < PEER_TIMEOUT);
+        self.active_peers().into_iter().filter(live).collect()
     }
 
     fn hand_over(&mut self, now: Instant) -> Vec<Action> {
@@ -297,14 +307,14 @@
                 flows.entry(peer).or_default().push((organisation, share));
             }
         }
-        // A transfer that is still open may be missing in the peer's record.
+        // The peer's record may not include a transfer without a receipt.
         flows.retain(|&peer, _| self.ledger.all_acknowledged_by(peer));
         flows.into_iter().map(|(peer, wanted)| self.send_transfer(now, peer, &wanted)).collect()
     }
 
-    /// What this entry gives of one organisation, and to whom. All entries
-    /// compute the same targets from the same records, and each divides its
-    /// excess over the deficits, so together they do not give too much.
+    /// Computes the shares of one organisation to send, and their receivers. All
+    /// entries compute the same targets from the same records, and each divides
+    /// its excess over the deficits, so together they do not send too much.
     fn flows(&self, now: Instant, organisation: OrganisationId) -> Vec<(Holder, Share)> {
         let all = self.participants(now, organisation);
         let demand: u64 = all.iter().map(|one| one.demand).sum();
@@ -314,10 +324,10 @@
         let count = all.len() as u64;
         let by_demand = |whole: u64, one: &Participant| scale(whole, one.demand, demand);
         let even = |whole: u64| whole / count;
-        // The rate goes where the demand is. The headroom does too: it takes
-        // in what the rate yields and what settlements give back, and both
-        // are lost where it is missing. The level, which bridges the loss of
-        // an entry, stays half spread over all of them.
+        // Rate and headroom move towards demand. Headroom is needed there
+        // because refills and unused tokens of settled reservations are lost
+        // without it. Half of the level stays spread evenly over all entries,
+        // which bridges the loss of an entry.
         let rate =
             divide_excess(&all, rate_of, |whole, one| even(whole / 2) + by_demand(whole / 2, one));
         let headroom = divide_excess(&all, headroom_of, |whole, one| {
@@ -337,7 +347,7 @@
         flows
     }
 
-    /// This entry first, then the live peers.
+    /// Returns this entry first, then the live peers.
     fn participants(&self, now: Instant, organisation: OrganisationId) -> Vec<Participant> {
         let own = self.slack_of(now, organisation);
         let mut all = vec![participant(self.me, own)];
@@ -369,7 +379,8 @@
     share.level.as_micros()
 }
 
-/// How much of one field the first of `all` gives to each of the others.
+/// Divides the excess that the first of `all` has of one field over the others'
+/// deficits.
 fn divide_excess(
     all: &[Participant],
     part: fn(&Share) -> u64,
@@ -383,7 +394,7 @@
     if excess <= whole / DEAD_BAND_DIVISOR || deficits == 0 {
         return vec![0; all.len()];
     }
-    // Half of the way at a time: the records are a little old.
+    // Only half of the excess moves at a time, as the records are not current.
     let give = excess.div_ceil(2).min(deficits);
     all.iter().map(|one| scale(give, deficit(one), deficits)).collect()
 }
--- a/kingcupbay_core/src/share/shares.rs
+++ b/kingcupbay_core/src/share/shares.rs
@@ -1,4 +1,4 @@
-//! The shares of one entry: epochs, admission and transfers.
+//! Shares of one entry: epochs, admission and transfers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,15 +20,16 @@
 /// Time limits of [`Shares`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// How long after a configuration is held by a majority a holder that it
-    /// removed may still have standing: the freshness bound of `standing`,
-    /// and what the clocks of two hosts may differ over it.
+    /// Delay before reclaimed shares are granted, from the time a majority
+    /// holds the configuration of the epoch. A removed holder may have standing
+    /// until then, so this covers the freshness bound of `standing` and the
+    /// drift between the clocks of two hosts over it.
     pub reclaim_delay: Span,
-    /// Longest that a request waits for tokens of peers.
+    /// Longest wait of a request for tokens from peers.
     pub ask_wait: Span,
-    /// Longest that a request waits for the first grant of its organisation.
+    /// Longest wait of a request for the first grant of its organisation.
     pub grant_wait: Span,
-    /// How long a transfer waits for its receipt before it is sent again.
+    /// Time without a receipt after which a transfer is sent again.
     pub resend_after: Span,
 }
 
@@ -43,91 +44,97 @@
     }
 }
 
-/// What the shell is to do.
+/// Action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Send this. It may get lost; nothing need be told about that.
+    /// Sends a message. It may be lost, and a loss need not be reported.
     Send(Envelope),
-    /// Write this to its row, once, until it is known to be there.
+    /// Writes a report to its row; the write is retried until the row is known
+    /// to hold the report.
     Report(Report),
-    /// Something came in: ask again for requests of this organisation that
-    /// were [`Verdict::Pending`].
+    /// Calls [`Shares::admit`] again for requests of this organisation that are
+    /// [`Verdict::Pending`]: shares or an answer of a peer arrived.
     Retry(OrganisationId),
 }
 
-/// Tokens taken for one request. It cannot be copied, so it is settled once.
+/// Tokens reserved for one request. It is not `Clone`, so it is settled at most
+/// once.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reservation {
     organisation: OrganisationId,
     id: ReservationId,
 }
 
-/// Whether a request may run.
+/// Answer of [`Shares::admit`]: whether a request may run.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may; settle the reservation at its end.
+    /// The request may run; its end settles the reservation.
     Granted(Reservation),
-    /// Perhaps peers have enough: carry out the actions, ask again at
-    /// [`Action::Retry`], and at `until` at the latest.
+    /// Peers may have enough tokens: the caller carries out the actions and
+    /// calls [`Shares::admit`] again at [`Action::Retry`] or at `until`,
+    /// whichever comes first.
     Pending {
-        /// Questions to peers.
+        /// Requests for tokens to peers, among others.
         actions: Vec<Action>,
-        /// Ask again by then.
+        /// Time of the next call at the latest.
         until: Instant,
     },
-    /// It may not, and has not run.
+    /// The request may not run, and has not run.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         code: Code,
-        /// When the organisation's bucket should have what is missing.
+        /// Time until the organisation should have the missing tokens; `None`
+        /// when that is unknown or never.
         retry_after: Option<Span>,
     },
 }
 
-/// One organisation at this entry.
+/// State of one organisation at this entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Account {
     pub(crate) bucket: Bucket,
-    /// Whether anything of it was ever held here.
+    /// Whether this entry ever held a share of the organisation.
     used: bool,
     pub(crate) demand: Demand,
-    /// What a waiting request needs, and until when it waits.
+    /// Deadline and amount of the last request that waits for tokens.
     pub(crate) waiting: Option<(Instant, Amount)>,
 }
 
-/// The shares of one entry.
+/// Shares of one entry.
 ///
-/// Invariant, over all entries of an epoch: what is in buckets, in transfers
-/// not taken yet and in grants not taken yet sums to at most each
-/// organisation's rate and burst. It holds because a giver deducts before it
-/// sends, a taker adds a transfer once and only within the epoch, and grants
-/// are divided from what the reports of all holders leave.
+/// Invariant, over all entries of an epoch: the shares in buckets, in transfers
+/// not yet accepted and in grants not yet added sum to at most each
+/// organisation's rate and burst. It holds because a sender deducts a share
+/// before it sends it, a receiver adds a transfer once and only within the
+/// epoch, and grants divide only what the reports of all holders leave.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Shares {
     pub(crate) me: Holder,
     pub(crate) settings: Settings,
     pub(crate) plan: Plan,
-    /// Made at the start of the epoch; none when this entry is not a holder.
+    /// Report made at the start of the epoch; `None` unless this entry is a
+    /// holder.
     report: Option<Report>,
     reports: BTreeMap<Holder, Report>,
-    /// When this entry learned that a majority holds the epoch.
+    /// When this entry learned that a majority holds the epoch's configuration.
     in_force: Option<Instant>,
-    /// What is due when old holders' standing has lapsed.
+    /// Grant of this epoch, less the parts already added.
     grant: Option<Grant>,
     pub(crate) accounts: BTreeMap<OrganisationId, Account>,
     pub(crate) ledger: Ledger,
     pub(crate) peers: BTreeMap<Holder, Peer>,
-    /// Questions without an answer, and when they were sent.
+    /// Send times of [`Message::Ask`]s without an answer.
     pub(crate) pending_asks: BTreeMap<(OrganisationId, Holder), Instant>,
-    /// Holders that said they are stopping.
+    /// Holders that announced a stop.
     pub(crate) leaving: BTreeSet<Holder>,
     pub(crate) stopping: bool,
-    /// Peers told so far, where not all are told at each tick.
+    /// Number of slack messages sent in rotation, which selects the next peers
+    /// when a tick does not reach all of them.
     pub(crate) rotation: usize,
 }
 
 impl Shares {
-    /// An entry that holds nothing yet.
+    /// Creates the state of an entry that holds nothing yet.
     pub fn new(me: Holder, settings: Settings) -> Shares {
         Shares {
             me,
@@ -147,41 +154,43 @@
         }
     }
 
-    /// The epoch this entry is in.
+    /// Returns the epoch this entry is in.
     pub fn epoch(&self) -> Number {
         self.plan.epoch
     }
 
-    /// The report of this epoch, to be written to its row.
+    /// Returns the report of this epoch, to be written to its row; `None` unless
+    /// this entry is a holder.
     pub fn report(&self) -> Option<&Report> {
         self.report.as_ref()
     }
 
-    /// Holders whose reports are still missing here; read their rows.
+    /// Returns the holders whose reports this entry has yet to read from their
+    /// rows.
     pub fn missing_reports(&self) -> impl Iterator<Item = Holder> {
         let holders = self.plan.holders.iter().copied();
         holders.filter(|holder| self.report.is_some() && !self.reports.contains_key(holder))
     }
 
-    /// Whether this entry's grant of the epoch is known and taken.
+    /// Returns whether this entry's grant of the epoch is known and fully added.
     pub fn has_grant(&self) -> bool {
         self.grant.as_ref().is_some_and(|grant| grant.reclaimed.is_empty())
     }
 
-    /// Every organisation known here with its share as it is at `now`.
+    /// Returns every organisation known here with its share at `now`.
     pub fn shares(&self, now: Instant) -> impl Iterator<Item = (OrganisationId, Share)> {
         self.accounts.iter().map(move |(&id, account)| (id, account.bucket.share_at(now)))
     }
 
-    /// Whether the division that may give this entry the first of an
-    /// organisation is under way. The callers of a new organisation would be
-    /// refused for as long as the reports travel.
+    /// Returns whether a grant may still give this entry its first share of an
+    /// organisation. Requests wait for it; callers of a new organisation would
+    /// otherwise be refused until all reports have been read.
     fn is_granting(&self, organisation: OrganisationId) -> bool {
         let used = self.accounts.get(&organisation).is_some_and(|account| account.used);
         self.report.is_some() && self.grant.is_none() && !used
     }
 
-    /// The share of an organisation as it is at `now`.
+    /// Returns the share of an organisation at `now`.
     pub fn share(&self, now: Instant, organisation: OrganisationId) -> Share {
         self.accounts
             .get(&organisation)
@@ -189,14 +198,14 @@
             .unwrap_or_default()
     }
 
-    /// What is on its way from here and not known to have arrived.
+    /// Returns the shares sent by this entry and not acknowledged yet.
     pub fn outstanding(&self) -> impl Iterator<Item = &Part> {
         self.ledger.outstanding()
     }
 
-    /// Enters the epoch of `plan`. From here on transfers of the epoch before
-    /// are neither sent again nor taken, so what this entry holds now is its
-    /// to report; a lost transfer is in nobody's report and is granted anew.
+    /// Enters the epoch of `plan`. Transfers of the previous epoch are neither
+    /// sent again nor accepted from here on, so this entry reports what it
+    /// holds now; a lost transfer is in no report and is granted anew.
     pub fn on_plan(&mut self, now: Instant, plan: Plan) -> Vec<Action> {
         if plan.epoch <= self.plan.epoch {
             return Vec::new();
@@ -223,7 +232,7 @@
         actions
     }
 
-    /// Takes in reports as read from their rows.
+    /// Adds reports read from their rows.
     pub fn on_reports(&mut self, now: Instant, reports: &[Report]) -> Vec<Action> {
         for report in reports.iter().filter(|report| report.epoch == self.plan.epoch) {
             if self.plan.holders.contains(&report.holder) {
@@ -233,7 +242,7 @@
         self.settle_grant(now)
     }
 
-    /// A majority of the members holds configuration `number`.
+    /// Records that a majority of the members holds configuration `number`.
     pub fn on_in_force(&mut self, now: Instant, number: Number) -> Vec<Action> {
         if number >= self.plan.epoch && self.in_force.is_none() {
             self.in_force = Some(now);
@@ -241,11 +250,11 @@
         self.settle_grant(now)
     }
 
-    /// Whether a request of `tokens`, which arrived at `since`, may run. At
-    /// the first time of asking `now` is `since`.
+    /// Decides whether a request of `tokens`, which arrived at `since`, may run.
+    /// `now` equals `since` at the first call for a request.
     ///
-    /// `standing` is asked by the caller at this very moment: a holder that
-    /// was removed may have been paused, and others may have its share.
+    /// The caller must read `standing` immediately before the call: this entry
+    /// may have been removed while it was paused, and others may hold its share.
     pub fn admit(
         &mut self,
         now: Instant,
@@ -261,7 +270,7 @@
         if tokens > total.burst {
             return Verdict::Refused { code: Code::OverBurst, retry_after: None };
         }
-        // A grant may have come due; the action wakes requests that wait.
+        // A grant may have become due; its actions retry waiting requests.
         let due = self.settle_grant(now);
         let amount = Amount::from_tokens(tokens);
         let account = self.account(now, organisation);
@@ -288,7 +297,8 @@
         Verdict::Pending { actions, until }
     }
 
-    /// Ends a reservation of which `used` tokens were used.
+    /// Ends a reservation of which `used` tokens were used, and gives back the
+    /// rest.
     pub fn settle(&mut self, now: Instant, reservation: Reservation, used: u64) {
         if let Some(account) = self.accounts.get_mut(&reservation.organisation) {
             let back = account.bucket.settle(now, reservation.id, Amount::from_tokens(used));
@@ -296,12 +306,12 @@
         }
     }
 
-    /// Takes in a message of another entry.
+    /// Handles a message from another entry.
     pub fn on_message(&mut self, now: Instant, envelope: &Envelope) -> Vec<Action> {
         let Envelope { from, to, epoch, ref message } = *envelope;
         let known = self.plan.holders.contains(&from) && from != self.me;
-        // A message of another epoch may carry what a report left out and a
-        // grant gave out again.
+        // A message of another epoch may carry a share that no report counted
+        // and that has been granted to others since.
         if to != self.me || epoch != self.plan.epoch || !known || self.report.is_none() {
             return Vec::new();
         }
@@ -321,7 +331,7 @@
         }
     }
 
-    /// Sends transfers without a receipt again.
+    /// Sends transfers again that have had no receipt for `resend_after`.
     pub fn resend(&mut self, now: Instant) -> Vec<Action> {
         let again = self.ledger.resend(now, self.settings.resend_after);
         let send = |(peer, transfer)| self.send(peer, Message::Transfer(transfer));
@@ -340,9 +350,9 @@
         vec![self.send_transfer(now, from, &[(ask.organisation, wanted)])]
     }
 
-    /// What may be given to `from`. Two entries that are both short would
-    /// hand the same tokens to and fro and both refuse; the lesser holder
-    /// keeps what its waiting request needs, the greater one gives.
+    /// Returns the level that may be sent to `from`. Two entries that both lack
+    /// tokens would send the same tokens back and forth and both refuse, so the
+    /// holder with the smaller number keeps what its waiting request needs.
     fn spare_level(&mut self, now: Instant, from: Holder, organisation: OrganisationId) -> Amount {
         let me = self.me;
         let account = self.account(now, organisation);
@@ -353,7 +363,8 @@
         }
     }
 
-    /// Deducts shares here and sends them to `peer`.
+    /// Deducts up to the `wanted` shares from this entry and sends them to
+    /// `peer`.
     pub(crate) fn send_transfer(
         &mut self,
         now: Instant,
@@ -424,7 +435,8 @@
         let held =
             self.accounts.iter().map(holding).filter(|(_, held)| *held != Default::default());
         let new = |id: &&OrganisationId| !before.totals.contains_key(id);
-        // A newcomer cannot witness that an organisation is new.
+        // An entry that was no holder before cannot tell that an organisation
+        // is new.
         let held_before = before.holders.contains(&self.me);
         let fresh = self.plan.totals.keys().filter(new).filter(|_| held_before);
         Report {
@@ -441,7 +453,7 @@
         }
     }
 
-    /// Takes this entry's grant of the epoch as far as it is due.
+    /// Adds the parts of this entry's grant that are due.
     pub(crate) fn settle_grant(&mut self, now: Instant) -> Vec<Action> {
         let mut due = BTreeMap::new();
         if self.grant.is_none() && self.report.is_some() {
@@ -471,8 +483,8 @@
         missing: Amount,
     ) -> Verdict {
         self.account(now, organisation).waiting = None;
-        // Peers that come to have something are asked, so the whole
-        // organisation's rate works towards what is missing.
+        // Peers are asked as soon as they should have tokens, so the missing
+        // ones are refilled at the organisation's whole rate.
         let known = self.total_peer_level(now, organisation);
         let retry_after = missing.saturating_sub(known).refill_time(total.rate);
         Verdict::Refused { code: Code::OverRate, retry_after }
