--- a/kingcupbay_core/tests/share.rs
+++ b/kingcupbay_core/tests/share.rs
@@ -1,4 +1,4 @@
-//! Rate shares under random schedules, against exact oracles.
+//! Rate shares under random schedules, compared with exact models.
 
 #![allow(clippy::unwrap_used)]
 
@@ -18,7 +18,9 @@
 };
 use quickcheck::Gen;
 
+/// Rate of the bucket under test, in tokens a second.
 const RATE: u64 = 3;
+/// Burst of the bucket under test, in tokens.
 const BURST: u64 = 10;
 
 fn share(rate: u64, capacity: u64, level: u64) -> Share {
@@ -30,14 +32,15 @@
     Instant::default() + Span::from_millis(millis)
 }
 
-/// Uniform below `below`; an arbitrary integer favours the extremes.
-fn draw(g: &mut Gen, below: u64) -> u64 {
+/// Returns a uniformly distributed number below `below`. An integer made by
+/// `Arbitrary` favours the extremes.
+fn random_below(rng: &mut Gen, below: u64) -> u64 {
     let bytes: Vec<u8> = (0..=u8::MAX).collect();
-    let any = (0..5).fold(0, |any, _| any << 8 | u64::from(*g.choose(&bytes).unwrap()));
+    let any = (0..5).fold(0, |any, _| any << 8 | u64::from(*rng.choose(&bytes).unwrap()));
     any % below
 }
 
-/// What happened to a bucket, to be replayed with other charges.
+/// Operation on a bucket, to be replayed with other charges.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Reserve { now: Instant, charge: Amount },
@@ -45,7 +48,8 @@
     Add { now: Instant, part: Share },
 }
 
-/// The bucket as it would be had each reservation been charged as now known.
+/// Returns the share of a bucket that reserved the charges in `events` from the
+/// start.
 fn replay(events: &[Event], now: Instant) -> Share {
     let mut bucket = Bucket::new(at(0), share(RATE, BURST, BURST));
     for &event in events {
@@ -58,38 +62,40 @@
     bucket.share_at(now)
 }
 
-fn settles_exactly(seed: u64) {
-    let mut g = Gen::from_size_and_seed(100, seed);
+/// Runs a random schedule and compares the bucket with its replay at each step.
+fn check_random_settlements(seed: u64) {
+    let mut rng = Gen::from_size_and_seed(100, seed);
     let mut bucket = Bucket::new(at(0), share(RATE, BURST, BURST));
     let mut events = Vec::new();
     let mut open: Vec<(ReservationId, usize, Amount)> = Vec::new();
     let mut millis = 0;
     for step in 0..60 {
-        millis += draw(&mut g, 900);
+        millis += random_below(&mut rng, 900);
         let now = at(millis);
-        match draw(&mut g, 10) {
+        match random_below(&mut rng, 10) {
             0..=4 => {
-                let charge = Amount::from_micros(1 + draw(&mut g, 6_000_000));
+                let charge = Amount::from_micros(1 + random_below(&mut rng, 6_000_000));
                 if let Ok(id) = bucket.reserve(now, charge) {
                     open.push((id, events.len(), charge));
                     events.push(Event::Reserve { now, charge });
                 }
             }
             5..=7 if !open.is_empty() => {
-                let (id, index, reserved) = open.remove(draw(&mut g, open.len() as u64) as usize);
-                let used = Amount::from_micros(draw(&mut g, reserved.as_micros() + 1));
+                let (id, index, reserved) =
+                    open.remove(random_below(&mut rng, open.len() as u64) as usize);
+                let used = Amount::from_micros(random_below(&mut rng, reserved.as_micros() + 1));
                 bucket.settle(now, id, used);
                 let Event::Reserve { charge, .. } = &mut events[index] else { unreachable!() };
                 *charge = used;
             }
             8 => {
-                let level = draw(&mut g, 3);
-                let part = bucket.take(now, share(0, level + draw(&mut g, 2), level));
+                let level = random_below(&mut rng, 3);
+                let part = bucket.take(now, share(0, level + random_below(&mut rng, 2), level));
                 events.push(Event::Take { now, part });
             }
             9 => {
-                let level = draw(&mut g, 2);
-                let part = share(0, level + draw(&mut g, 2), level);
+                let level = random_below(&mut rng, 2);
+                let part = share(0, level + random_below(&mut rng, 2), level);
                 bucket.add(now, part);
                 events.push(Event::Add { now, part });
             }
@@ -99,47 +105,53 @@
     }
 }
 
-/// A request reserves its permitted output and uses little of it. Meanwhile
-/// the bucket filled up again. Were the rest given back whole, the
-/// organisation would have its burst twice; were nothing given back, callers
-/// inside their rate would be refused. So the bucket must equal one that had
-/// reserved the used tokens only.
+/// Guards against a wrong amount given back: a request reserves its permitted
+/// output, uses little of it, and the bucket refills meanwhile. If the whole rest
+/// were given back, the organisation could use its burst twice; if nothing were,
+/// callers within their rate would be refused. So the bucket must equal one that
+/// reserved only the used tokens.
 #[test]
-fn settling_equals_having_reserved_only_the_used() {
-    (0..2_000).for_each(settles_exactly);
+fn settling_equals_reserving_only_the_used_tokens() {
+    (0..2_000).for_each(check_random_settlements);
 }
 
+/// Rate of the organisation in a [`Fleet`], in tokens a second.
 const FLEET_RATE: u64 = 50;
+/// Burst of the organisation in a [`Fleet`], in tokens.
 const FLEET_BURST: u64 = 400;
-/// Longest that a removed holder has standing.
-const STANDING: Span = Span::from_secs(1);
+/// Longest time that a removed holder has standing.
+const STANDING_MAX: Span = Span::from_secs(1);
 
 const SETTINGS: Settings = Settings {
-    reclaim_delay: STANDING,
+    reclaim_delay: STANDING_MAX,
     ask_wait: Span::from_millis(20),
     grant_wait: Span::from_millis(50),
     resend_after: Span::from_millis(100),
 };
 
-/// How long callers rest, and then do not: longer than the bucket fills.
-const REST: Span = Span::from_secs(10);
+/// Length of the alternating periods without and with requests; longer than an
+/// empty bucket takes to fill.
+const REST_PERIOD: Span = Span::from_secs(10);
+/// Number of random schedules.
 const SCHEDULES: u64 = 500;
 
-/// Entries under a random schedule. Time is the same for all of them; the
-/// messages between them are lost, doubled, late and crossed.
+/// Entries under a random schedule. All share one clock; messages between them
+/// are lost, duplicated, delayed and reordered.
 struct Fleet {
-    g: Gen,
+    rng: Gen,
     now: Instant,
     epoch: u64,
     holders: Vec<Holder>,
-    /// Every entry that ever was and has not crashed, and since when it is
-    /// no holder any more.
+    /// Every entry that was ever added and has not crashed, and the time of its
+    /// removal from the holders.
     entries: BTreeMap<Holder, (Shares, Option<Instant>)>,
-    net: Vec<Envelope>,
+    in_flight: Vec<Envelope>,
     reports: Vec<Report>,
-    /// Moment and charge of every admission.
+    /// Time and charge of every admission.
     charges: Vec<(Instant, Amount)>,
-    open: Vec<(Holder, Reservation, usize, u64)>,
+    /// Holder, reservation, index in `charges` and reserved tokens of each open
+    /// reservation.
+    reservations: Vec<(Holder, Reservation, usize, u64)>,
 }
 
 fn organisation() -> OrganisationId {
@@ -151,18 +163,18 @@
         let holders: Vec<_> = (1..=3).map(Holder).collect();
         let entry = |&holder: &Holder| (holder, (Shares::new(holder, SETTINGS), None));
         let mut fleet = Fleet {
-            g: Gen::from_size_and_seed(100, seed),
+            rng: Gen::from_size_and_seed(100, seed),
             now: at(0),
             epoch: 0,
             entries: holders.iter().map(entry).collect(),
             holders,
-            net: Vec::new(),
+            in_flight: Vec::new(),
             reports: Vec::new(),
             charges: Vec::new(),
-            open: Vec::new(),
+            reservations: Vec::new(),
         };
         fleet.begin_epoch();
-        fleet.holders.clone().into_iter().for_each(|holder| fleet.learn(holder, false));
+        fleet.holders.clone().into_iter().for_each(|holder| fleet.enter_epoch(holder, false));
         fleet.begin_epoch();
         fleet
     }
@@ -171,7 +183,7 @@
         let total = (organisation(), Total { rate: FLEET_RATE, burst: FLEET_BURST });
         let totals = organisations.then_some(total).into_iter().collect();
         let holders = self.holders.iter().copied().collect();
-        // From the third epoch on somebody has left.
+        // From the third epoch on an entry has left.
         let last_removal = Number(if self.epoch > 2 { self.epoch } else { 0 });
         Plan { epoch: Number(self.epoch), holders, last_removal, totals }
     }
@@ -181,7 +193,7 @@
         self.reports.clear();
     }
 
-    fn learn(&mut self, holder: Holder, organisations: bool) {
+    fn enter_epoch(&mut self, holder: Holder, organisations: bool) {
         let plan = self.plan(organisations);
         if let Some((shares, _)) = self.entries.get_mut(&holder) {
             let mut actions = shares.on_plan(self.now, plan);
@@ -193,28 +205,28 @@
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(envelope) => self.net.push(envelope),
+                Action::Send(envelope) => self.in_flight.push(envelope),
                 Action::Report(report) => self.reports.push(report),
                 Action::Retry(_) => {}
             }
         }
-        // What is beyond this is lost, the oldest first.
-        let surplus = self.net.len().saturating_sub(40);
-        self.net.drain(..surplus);
+        // Messages beyond this number are lost, the oldest first.
+        let surplus = self.in_flight.len().saturating_sub(40);
+        self.in_flight.drain(..surplus);
     }
 
-    fn any_entry(&mut self) -> Holder {
-        let place = draw(&mut self.g, self.entries.len() as u64) as usize;
-        *self.entries.keys().nth(place).unwrap()
+    fn random_entry(&mut self) -> Holder {
+        let index = random_below(&mut self.rng, self.entries.len() as u64) as usize;
+        *self.entries.keys().nth(index).unwrap()
     }
 
-    /// An entry is taken for gone and replaced. It crashed, or it is paused
-    /// and goes on with what it knows until its standing ends.
+    /// Replaces a random holder. It has crashed, or it is only paused and goes on
+    /// with its old state until its standing ends.
     fn replace(&mut self) {
-        let gone = self.holders.remove(draw(&mut self.g, 3) as usize);
-        match draw(&mut self.g, 2) {
-            0 => drop(self.entries.remove(&gone)),
-            _ => self.entries.get_mut(&gone).unwrap().1 = Some(self.now),
+        let removed = self.holders.remove(random_below(&mut self.rng, 3) as usize);
+        match random_below(&mut self.rng, 2) {
+            0 => drop(self.entries.remove(&removed)),
+            _ => self.entries.get_mut(&removed).unwrap().1 = Some(self.now),
         }
         let holder = Holder(self.epoch + 10);
         self.holders.push(holder);
@@ -223,13 +235,13 @@
     }
 
     fn admit(&mut self, holder: Holder) {
-        let tokens = 1 + draw(&mut self.g, 120);
+        let tokens = 1 + random_below(&mut self.rng, 120);
         let now = self.now;
-        let (shares, gone) = self.entries.get_mut(&holder).unwrap();
-        let standing = gone.is_none_or(|since| now.since(since) < STANDING);
+        let (shares, removed) = self.entries.get_mut(&holder).unwrap();
+        let standing = removed.is_none_or(|since| now.since(since) < STANDING_MAX);
         match shares.admit(now, now, organisation(), tokens, standing) {
             Verdict::Granted(reservation) => {
-                self.open.push((holder, reservation, self.charges.len(), tokens));
+                self.reservations.push((holder, reservation, self.charges.len(), tokens));
                 self.charges.push((now, Amount::from_tokens(tokens)));
             }
             Verdict::Pending { actions, .. } => self.carry_out(actions),
@@ -238,26 +250,27 @@
     }
 
     fn settle(&mut self) {
-        if self.open.is_empty() {
+        if self.reservations.is_empty() {
             return;
         }
-        let place = draw(&mut self.g, self.open.len() as u64) as usize;
-        let (holder, reservation, index, tokens) = self.open.remove(place);
-        let used = if self.g_bool() { tokens } else { draw(&mut self.g, tokens + 1) };
+        let index = random_below(&mut self.rng, self.reservations.len() as u64) as usize;
+        let (holder, reservation, charge, tokens) = self.reservations.remove(index);
+        let used =
+            if self.random_bool() { tokens } else { random_below(&mut self.rng, tokens + 1) };
         if let Some((shares, _)) = self.entries.get_mut(&holder) {
             shares.settle(self.now, reservation, used);
-            self.charges[index].1 = Amount::from_tokens(used);
+            self.charges[charge].1 = Amount::from_tokens(used);
         }
     }
 
     fn deliver(&mut self) {
-        if self.net.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let place = draw(&mut self.g, self.net.len() as u64) as usize;
-        let envelope = match draw(&mut self.g, 4) {
-            0 => self.net[place].clone(),
-            _ => self.net.remove(place),
+        let index = random_below(&mut self.rng, self.in_flight.len() as u64) as usize;
+        let envelope = match random_below(&mut self.rng, 4) {
+            0 => self.in_flight[index].clone(),
+            _ => self.in_flight.remove(index),
         };
         if let Some((shares, _)) = self.entries.get_mut(&envelope.to) {
             let actions = shares.on_message(self.now, &envelope);
@@ -265,19 +278,19 @@
         }
     }
 
-    fn g_bool(&mut self) -> bool {
-        draw(&mut self.g, 2) == 0
+    fn random_bool(&mut self) -> bool {
+        random_below(&mut self.rng, 2) == 0
     }
 
     fn step(&mut self) {
-        self.now = self.now + Span::from_micros(draw(&mut self.g, 60_000));
-        let entry = self.any_entry();
-        // Callers rest and come back all at once: the levels are full then,
-        // and what was made beyond the burst would show.
-        let rest = (self.now.as_micros() / REST.as_micros()).is_multiple_of(2);
-        match draw(&mut self.g, 400) {
-            0 if self.g_bool() => self.replace(),
-            1 if self.g_bool() => {
+        self.now = self.now + Span::from_micros(random_below(&mut self.rng, 60_000));
+        let entry = self.random_entry();
+        // Callers pause and then all send again. Levels are full by then, so
+        // allowance created beyond the burst would show.
+        let rest = (self.now.as_micros() / REST_PERIOD.as_micros()).is_multiple_of(2);
+        match random_below(&mut self.rng, 400) {
+            0 if self.random_bool() => self.replace(),
+            1 if self.random_bool() => {
                 let shares = &mut self.entries.get_mut(&entry).unwrap().0;
                 let actions = shares.on_stop(self.now);
                 self.carry_out(actions);
@@ -287,7 +300,7 @@
                 let actions = shares.on_tick(self.now);
                 self.carry_out(actions);
             }
-            16..=59 if self.holders.contains(&entry) => self.learn(entry, true),
+            16..=59 if self.holders.contains(&entry) => self.enter_epoch(entry, true),
             60..=119 => {
                 let shares = &mut self.entries.get_mut(&entry).unwrap().0;
                 let actions = shares.on_reports(self.now, &self.reports);
@@ -299,8 +312,8 @@
         }
     }
 
-    /// The most that any interval got beyond burst + rate * t, in
-    /// micro-tokens; and what was admitted at all.
+    /// Returns the largest amount that any interval got beyond burst + rate * t,
+    /// in micro-tokens, and the total of admitted tokens.
     fn excess(&self) -> (i128, u64) {
         let burst = i128::from(Amount::from_tokens(FLEET_BURST).as_micros());
         let mut worst = i128::MIN;
@@ -317,10 +330,11 @@
     }
 }
 
-/// An organisation's callers send more than its rate. Entries crash or pause,
-/// are replaced, hand over, settle late; messages are lost, doubled, crossed.
-/// A guest would see nothing, but the organisation would have more than its
-/// part of the engines if allowance were made anywhere.
+/// Guards against allowance that is created by any step of the protocol. Callers
+/// send more than the organisation's rate, entries crash or pause, are replaced,
+/// hand over and settle late, and messages are lost, duplicated and reordered.
+/// No caller would notice, but the organisation would get more than its part of
+/// the engines.
 #[test]
 fn no_interval_gets_more_than_burst_and_rate() {
     let mut admitted = 0;
@@ -331,6 +345,6 @@
         assert!(excess <= 0, "seed {seed}: {excess} micro-tokens over the bound");
         admitted += total;
     }
-    // The schedules do admit: without that the bound says nothing.
+    // The bound proves nothing unless the schedules admit requests.
     assert!(admitted > SCHEDULES * FLEET_BURST, "only {admitted} tokens admitted");
 }
