--- a/kingcupbay_core/tests/spec_share.rs
+++ b/kingcupbay_core/tests/spec_share.rs
@@ -1,7 +1,9 @@
-//! Specification of rate shares, explored breadth-first over the core's own
-//! transitions: two entries and the successor of one, one organisation, one
-//! pause (a crash is the pause that does not end), one change of epoch,
-//! messages lost, doubled and late. Lost is a message that never arrives.
+//! Specification of rate shares, checked over all reachable states.
+//!
+//! A breadth-first search runs the transitions of the core itself with two
+//! entries and the successor of one, one organisation, one pause (a crash is a
+//! pause that does not end) and one change of epoch. Messages may be lost,
+//! duplicated and delayed; a lost message is one that is never delivered.
 
 #![allow(clippy::unwrap_used)]
 
@@ -29,38 +31,42 @@
 
 const A: Holder = Holder(1);
 const B: Holder = Holder(2);
-/// Comes in the place of B.
+/// Successor of B.
 const C: Holder = Holder(3);
+/// Tokens a tick; a tick is one second.
 const RATE: u64 = 2;
+/// Burst of the organisation, in tokens.
 const BURST: u64 = 4;
-/// The first tick is 1.
-const TICKS: u64 = 4;
-/// How long B may have standing after the last epoch is in force.
-const LAPSE: u64 = 2;
-const MESSAGES: usize = 2;
-const TRANSFERS: u8 = 2;
-
-/// A mutation of the protocol.
+/// Last tick of the search; the first is 1.
+const LAST_TICK: u64 = 4;
+/// Ticks for which B may have standing after the last epoch is in force.
+const RECLAIM_TICKS: u64 = 2;
+/// Most messages in flight.
+const IN_FLIGHT_MAX: usize = 2;
+/// Most asks for a transfer in one run.
+const TRANSFERS_MAX: u8 = 2;
+
+/// Fault put into the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Fault {
     None,
-    /// The taker does not remember what it took.
+    /// The receiver does not remember which transfers it accepted.
     ForgetSeq,
-    /// The giver deducts when the receipt comes.
+    /// The sender deducts a share only when the receipt arrives.
     DeductLate,
-    /// The level travels, its capacity stays.
-    CapacityStays,
-    /// Grants do not wait until the old holder's standing has lapsed.
-    NoLapse,
-    /// Transfers are taken across epochs, and from whoever sends them.
+    /// The level is sent without its capacity.
+    KeepCapacity,
+    /// Grants do not wait until the standing of the former holder has lapsed.
+    NoReclaimDelay,
+    /// Transfers are accepted across epochs and from any sender.
     AnyEpoch,
 }
 
-/// Every state of an entry once, for the sake of memory.
+/// States of entries, each stored once to save memory.
 #[derive(Default)]
-struct Pool(BTreeMap<u64, Vec<Rc<Shares>>>);
+struct InternPool(BTreeMap<u64, Vec<Rc<Shares>>>);
 
-impl Pool {
+impl InternPool {
     fn intern(&mut self, shares: &Rc<Shares>) -> Rc<Shares> {
         let mut hasher = DefaultHasher::new();
         shares.hash(&mut hasher);
@@ -74,23 +80,23 @@
 }
 
 thread_local! {
-    static POOL: RefCell<Pool> = RefCell::default();
+    static POOL: RefCell<InternPool> = RefCell::default();
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Step {
     Tick,
     Admit(Holder, u64),
-    /// The second asks the first.
+    /// The second entry asks the first for tokens.
     Ask(Holder, Holder),
-    /// Delivered, and its receipt too.
+    /// Delivers a message and its receipt.
     Deliver(Envelope),
-    /// Delivered and still on its way; the receipt is lost.
-    Double(Envelope),
-    /// The last epoch is in force, and C enters it.
+    /// Delivers a message that stays in flight; its receipt is lost.
+    Duplicate(Envelope),
+    /// Puts the last epoch in force; C enters it.
     Replace,
-    /// A enters it.
-    Learn,
+    /// A enters the last epoch.
+    EnterEpoch,
     ReadReports(Holder),
 }
 
@@ -99,16 +105,16 @@
     fault: Fault,
     tick: u64,
     entries: BTreeMap<Holder, Rc<Shares>>,
-    /// In order, each once.
-    net: Vec<Rc<Envelope>>,
+    /// Sorted and without duplicates.
+    in_flight: Vec<Rc<Envelope>>,
     in_force: Option<u64>,
     transfers: u8,
-    rewritten: u64,
-    /// Transfers not taken yet.
-    flight: Vec<(Holder, Holder, u64, Part)>,
-    /// What the organisation's exact bucket has left; below zero when some
-    /// interval got more than burst and rate allow.
-    exact: i64,
+    rewrites: u64,
+    /// Sender, receiver, number and share of transfers not accepted yet.
+    not_accepted: Vec<(Holder, Holder, u64, Part)>,
+    /// Level of a single exact bucket of the organisation, in tokens; negative
+    /// when some interval got more than burst and rate allow.
+    exact_level: i64,
 }
 
 fn at(tick: u64) -> Instant {
@@ -127,9 +133,9 @@
 }
 
 impl World {
-    /// A and B share the organisation, whose bucket is full.
+    /// Creates a state in which A and B share the organisation's full bucket.
     fn new(fault: Fault) -> World {
-        let reclaim_delay = if fault == Fault::NoLapse { 0 } else { LAPSE };
+        let reclaim_delay = if fault == Fault::NoReclaimDelay { 0 } else { RECLAIM_TICKS };
         let reclaim_delay = Span::from_secs(reclaim_delay);
         let settings =
             Settings { reclaim_delay, resend_after: Span::from_secs(99), ..Settings::default() };
@@ -150,12 +156,12 @@
             fault,
             tick: 1,
             entries,
-            net: Vec::new(),
+            in_flight: Vec::new(),
             in_force: None,
             transfers: 0,
-            rewritten: 0,
-            flight: Vec::new(),
-            exact: BURST as i64,
+            rewrites: 0,
+            not_accepted: Vec::new(),
+            exact_level: BURST as i64,
         }
     }
 
@@ -167,17 +173,17 @@
         at(self.tick)
     }
 
-    /// Whether `holder` may act on what it knows: it is in the last epoch, or
-    /// could have missed it.
+    /// Returns whether `holder` has standing: it is in the last epoch, or in the
+    /// one before and may not have learned of the last one yet.
     fn standing(&self, holder: Holder) -> bool {
         let shares = &self.entries[&holder];
-        let missed = self.in_force.is_none_or(|at| self.tick < at + LAPSE);
+        let missed = self.in_force.is_none_or(|at| self.tick < at + RECLAIM_TICKS);
         shares.epoch() == Number(3) || (shares.epoch() == Number(2) && missed)
     }
 
     fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
-        if self.tick < TICKS {
+        if self.tick < LAST_TICK {
             steps.push(Step::Tick);
         }
         for (&holder, shares) in &self.entries {
@@ -185,7 +191,7 @@
             if level > 0 && self.standing(holder) {
                 steps.push(Step::Admit(holder, level));
             }
-            let room = self.net.len() < MESSAGES && self.transfers < TRANSFERS;
+            let room = self.in_flight.len() < IN_FLIGHT_MAX && self.transfers < TRANSFERS_MAX;
             for &other in self.entries.keys().filter(|&&other| room && other != holder) {
                 if level > 0 && self.entries[&other].epoch() == shares.epoch() {
                     steps.push(Step::Ask(holder, other));
@@ -193,16 +199,16 @@
             }
         }
         if self.in_force.is_some() && self.reports().len() == 1 {
-            steps.push(Step::Learn);
+            steps.push(Step::EnterEpoch);
         }
         for holder in [A, C].into_iter().filter(|_| self.reports().len() == 2) {
             if self.entries[&holder].missing_reports().next().is_some() {
                 steps.push(Step::ReadReports(holder));
             }
         }
-        for envelope in &self.net {
+        for envelope in &self.in_flight {
             steps.push(Step::Deliver(Envelope::clone(envelope)));
-            steps.push(Step::Double(Envelope::clone(envelope)));
+            steps.push(Step::Duplicate(Envelope::clone(envelope)));
         }
         if self.in_force.is_none() {
             steps.push(Step::Replace);
@@ -223,22 +229,23 @@
         match step {
             Step::Tick => {
                 self.tick += 1;
-                self.exact = (self.exact + RATE as i64).min(BURST as i64);
-                // Nothing is admitted; equal states come to look equal.
+                self.exact_level = (self.exact_level + RATE as i64).min(BURST as i64);
+                // Admits no tokens, but updates the buckets to `now`, so that
+                // equivalent states compare equal.
                 [A, B, C].into_iter().for_each(|holder| self.admit(holder, 0));
             }
             Step::Admit(holder, tokens) => self.admit(*holder, *tokens),
-            Step::Ask(giver, taker) => self.ask(*giver, *taker),
+            Step::Ask(sender, receiver) => self.ask(*sender, *receiver),
             Step::Deliver(envelope) => {
-                self.net.retain(|other| **other != *envelope);
+                self.in_flight.retain(|other| **other != *envelope);
                 self.deliver(envelope, true);
             }
-            Step::Double(envelope) => self.deliver(envelope, false),
+            Step::Duplicate(envelope) => self.deliver(envelope, false),
             Step::Replace => {
                 self.in_force = Some(self.tick);
-                self.learn(C);
+                self.enter_epoch(C);
             }
-            Step::Learn => self.learn(A),
+            Step::EnterEpoch => self.enter_epoch(A),
             Step::ReadReports(holder) => {
                 let now = self.now();
                 let reports = self.reports();
@@ -247,62 +254,62 @@
         }
     }
 
-    /// The reports of the last epoch.
+    /// Returns the reports of the last epoch.
     fn reports(&self) -> Vec<Report> {
         let reports = self.entries.values().filter_map(|shares| shares.report());
         reports.filter(|report| report.epoch == Number(3)).cloned().collect()
     }
 
-    fn learn(&mut self, holder: Holder) {
+    fn enter_epoch(&mut self, holder: Holder) {
         let now = self.now();
         let shares = self.entry(holder);
         shares.on_plan(now, plan(3, [A, C], true));
         shares.on_in_force(now, Number(3));
-        self.flight.retain(|&(_, taker, ..)| taker != holder);
+        self.not_accepted.retain(|&(_, receiver, ..)| receiver != holder);
     }
 
     fn admit(&mut self, holder: Holder, tokens: u64) {
         let (now, standing) = (self.now(), self.standing(holder));
         let shares = self.entry(holder);
-        // Asked for the second time, so that demand, which decides nothing
-        // here, stays out of the state.
+        // `since` before `now` marks a repeated call, which does not count as
+        // demand. Demand decides nothing here and would only add states.
         let since = now - Span::from_micros(1);
         let verdict = shares.admit(now, since, organisation(), tokens, standing);
         if let Verdict::Granted(reservation) = verdict {
             shares.settle(now, reservation, tokens);
-            self.exact -= tokens as i64;
+            self.exact_level -= tokens as i64;
         }
     }
 
-    fn ask(&mut self, giver: Holder, taker: Holder) {
+    fn ask(&mut self, sender: Holder, receiver: Holder) {
         self.transfers += 1;
         let now = self.now();
-        let before = self.entries[&giver].clone();
-        let shares = self.entry(giver);
+        let before = self.entries[&sender].clone();
+        let shares = self.entry(sender);
         let epoch = shares.epoch();
         let missing = Amount::from_tokens(BURST);
         let message = Message::Ask(Ask { organisation: organisation(), missing });
-        let ask = Envelope { from: taker, to: giver, epoch, message };
+        let ask = Envelope { from: receiver, to: sender, epoch, message };
         for action in shares.on_message(now, &ask) {
             let Action::Send(mut envelope) = action else { continue };
             let Message::Transfer(transfer) = &mut envelope.message else { continue };
             transfer.slack.clear();
             let (seq, part) = (transfer.seq, transfer.parts[0]);
-            if self.fault == Fault::CapacityStays {
+            if self.fault == Fault::KeepCapacity {
                 let share = Share { rate: 0, level: Amount::ZERO, ..part.share };
                 let parts = vec![Part { share, ..part }];
                 let back = Transfer { seq: 900 + seq, floor: 0, parts, slack: Vec::new() };
                 let message = Message::Transfer(back);
-                let back = Envelope { from: taker, to: giver, epoch, message };
-                self.entry(giver).on_message(now, &back);
+                let back = Envelope { from: receiver, to: sender, epoch, message };
+                self.entry(sender).on_message(now, &back);
                 transfer.parts[0].share.capacity = Amount::ZERO;
             }
-            self.flight.push((giver, taker, seq, part));
-            self.net.push(Rc::new(envelope));
-            self.net.sort();
+            self.not_accepted.push((sender, receiver, seq, part));
+            self.in_flight.push(Rc::new(envelope));
+            self.in_flight.sort();
         }
         if self.fault == Fault::DeductLate {
-            self.entries.insert(giver, before);
+            self.entries.insert(sender, before);
         }
     }
 
@@ -318,26 +325,26 @@
         }
         if let (Fault::ForgetSeq, Message::Transfer(transfer)) = (self.fault, &mut envelope.message)
         {
-            self.rewritten += 1;
-            transfer.seq = 900 + self.rewritten;
+            self.rewrites += 1;
+            transfer.seq = 900 + self.rewrites;
         }
         for action in shares.on_message(now, &envelope) {
             let Action::Send(mut answer) = action else { continue };
             if let Message::Receipt { slack, seq } = &mut answer.message {
                 slack.clear();
                 let taken = (sender, envelope.to, *seq);
-                self.flight.retain(|&(from, to, seq, _)| (from, to, seq) != taken);
+                self.not_accepted.retain(|&(from, to, seq, _)| (from, to, seq) != taken);
                 if receipt {
-                    self.receive(answer);
+                    self.deliver_receipt(answer);
                 }
             }
         }
     }
 
-    fn receive(&mut self, receipt: Envelope) {
+    fn deliver_receipt(&mut self, receipt: Envelope) {
         let now = self.now();
-        let giver = self.entry(receipt.to);
-        giver.on_message(now, &receipt);
+        let sender = self.entry(receipt.to);
+        sender.on_message(now, &receipt);
         if self.fault == Fault::DeductLate {
             let missing = Amount::from_tokens(BURST);
             let message = Message::Ask(Ask { organisation: organisation(), missing });
@@ -345,17 +352,18 @@
         }
     }
 
-    /// What is wrong in this state, if anything.
-    fn broken(&self) -> Option<&'static str> {
-        if self.exact < 0 {
+    /// Returns a description of the property that this state violates, if any.
+    fn violation(&self) -> Option<&'static str> {
+        if self.exact_level < 0 {
             return Some("an interval got more than burst + rate * t");
         }
         let mut sum = Share::default();
         let held = self.entries.iter().filter(|(holder, _)| self.standing(**holder));
         let held = held.map(|(_, shares)| shares.share(self.now(), organisation()));
-        // What comes to B after its standing lapsed is out of use.
-        let flight = self.flight.iter().filter(|(_, taker, ..)| self.standing(*taker));
-        for share in held.chain(flight.map(|(.., part)| part.share)) {
+        // Shares sent to B after its standing lapsed are out of use.
+        let not_accepted =
+            self.not_accepted.iter().filter(|(_, receiver, ..)| self.standing(*receiver));
+        for share in held.chain(not_accepted.map(|(.., part)| part.share)) {
             sum.rate += share.rate;
             sum.capacity += share.capacity;
             sum.level += share.level;
@@ -368,7 +376,7 @@
     }
 }
 
-/// A state and its distance from the start, which is no part of the state.
+/// State and its distance from the start; comparisons ignore the distance.
 #[derive(Clone)]
 struct Node {
     world: World,
@@ -389,8 +397,9 @@
     }
 }
 
-/// Searches for a state that `bad` rejects; prints counts, and the trace.
-fn explore(fault: Fault, bad: impl Fn(&World) -> bool) -> Option<Vec<World>> {
+/// Searches for a state that satisfies `is_target`, and prints the counts and the
+/// trace to it.
+fn explore(fault: Fault, is_target: impl Fn(&World) -> bool) -> Option<Vec<World>> {
     let (clock, states, depth) = (Clock::now(), Cell::new(0), Cell::new(0));
     let start = Node { world: World::new(fault), depth: 0 };
     let successors = |node: &Node| {
@@ -401,7 +410,7 @@
     let found = bfs(&start, successors, |node| {
         states.set(states.get() + 1);
         depth.set(node.depth);
-        bad(&node.world)
+        is_target(&node.world)
     });
     let (states, depth) = (states.get(), depth.get());
     println!("{fault:?}: {states} states, depth {depth}, {:.1} s", clock.elapsed().as_secs_f64());
@@ -423,15 +432,15 @@
         println!(
             "  t={} exact={} [{}] after {}",
             world.tick,
-            world.exact,
+            world.exact_level,
             shares.join(", "),
-            brief(&step.unwrap())
+            describe(&step.unwrap())
         );
     }
-    println!("  => {}", trace.last().unwrap().broken().unwrap());
+    println!("  => {}", trace.last().unwrap().violation().unwrap());
 }
 
-fn brief(step: &Step) -> String {
+fn describe(step: &Step) -> String {
     let line = |word: &str, envelope: &Envelope| {
         let what = match &envelope.message {
             Message::Transfer(transfer) => format!("transfer {}", transfer.seq),
@@ -441,43 +450,50 @@
     };
     match step {
         Step::Deliver(envelope) => line("deliver", envelope),
-        Step::Double(envelope) => line("deliver and double", envelope),
+        Step::Duplicate(envelope) => line("deliver and duplicate", envelope),
         Step::Admit(holder, tokens) => format!("{} admits {tokens}", holder.0),
-        Step::Ask(giver, taker) => format!("{} asks {}", taker.0, giver.0),
+        Step::Ask(sender, receiver) => format!("{} asks {}", receiver.0, sender.0),
         other => format!("{other:?}"),
     }
 }
 
-fn over(world: &World) -> bool {
-    world.exact < 0
+fn exceeds_bound(world: &World) -> bool {
+    world.exact_level < 0
 }
 
+/// No order of steps, losses and delays may admit more than burst and rate allow,
+/// or make shares and transfers sum to more than the organisation's.
 #[test]
 fn bound_and_conservation_hold_everywhere() {
-    assert!(explore(Fault::None, |world| world.broken().is_some()).is_none());
+    assert!(explore(Fault::None, |world| world.violation().is_some()).is_none());
 }
 
+/// The search must find a duplicated transfer that is added twice.
 #[test]
 fn forgotten_sequence_numbers_break_the_bound() {
-    assert!(explore(Fault::ForgetSeq, over).is_some());
+    assert!(explore(Fault::ForgetSeq, exceeds_bound).is_some());
 }
 
+/// The search must find tokens used at both ends of a transfer.
 #[test]
 fn late_deduction_breaks_the_bound() {
-    assert!(explore(Fault::DeductLate, over).is_some());
+    assert!(explore(Fault::DeductLate, exceeds_bound).is_some());
 }
 
+/// The search must find a sender that refills beside the level it sent.
 #[test]
 fn capacity_left_behind_breaks_the_bound() {
-    assert!(explore(Fault::CapacityStays, over).is_some());
+    assert!(explore(Fault::KeepCapacity, exceeds_bound).is_some());
 }
 
+/// The search must find a share granted while a paused former holder uses it.
 #[test]
 fn a_grant_before_the_lapse_breaks_the_bound() {
-    assert!(explore(Fault::NoLapse, over).is_some());
+    assert!(explore(Fault::NoReclaimDelay, exceeds_bound).is_some());
 }
 
+/// The search must find a late transfer whose share has been granted anew.
 #[test]
 fn a_transfer_across_epochs_breaks_the_bound() {
-    assert!(explore(Fault::AnyEpoch, over).is_some());
+    assert!(explore(Fault::AnyEpoch, exceeds_bound).is_some());
 }
