--- a/kingcupbay_core/src/share/message.rs
+++ b/kingcupbay_core/src/share/message.rs
@@ -87,7 +87,7 @@
 pub struct Slack {
     /// The organisation.
     pub organisation: OrganisationId,
-    /// Recent use by its callers at this entry, in tokens a second.
+    /// Recent demand of its callers at this entry, in tokens a second.
     pub demand: u64,
     /// Share of it that the entry holds.
     pub share: Share,
--- a/kingcupbay_core/src/share/plan.rs
+++ b/kingcupbay_core/src/share/plan.rs
@@ -107,7 +107,7 @@
     holder: Holder,
 ) -> Option<Grant> {
     let complete = plan.holders.iter().all(|holder| reports.contains_key(holder));
-    let place = plan.holders.iter().position(|&other| other == holder)?;
+    let index = plan.holders.iter().position(|&other| other == holder)?;
     if !complete {
         return None;
     }
@@ -115,11 +115,11 @@
     for (&organisation, &total) in &plan.totals {
         let unheld = unheld(organisation, total, reports);
         let part = Holding {
-            rate: equal_part(unheld.rate, plan.holders.len(), place),
+            rate: equal_part(unheld.rate, plan.holders.len(), index),
             capacity: Amount::from_micros(equal_part(
                 unheld.capacity.as_micros(),
                 plan.holders.len(),
-                place,
+                index,
             )),
         };
         if part == Holding::default() {
@@ -168,9 +168,9 @@
     unheld
 }
 
-/// Returns part number `place` of `whole` divided into `parts` equal parts; the
+/// Returns part number `index` of `whole` divided into `parts` equal parts; the
 /// first parts get the remainder.
-fn equal_part(whole: u64, parts: usize, place: usize) -> u64 {
+fn equal_part(whole: u64, parts: usize, index: usize) -> u64 {
     let parts = parts as u64;
-    whole / parts + u64::from((place as u64) < whole % parts)
+    whole / parts + u64::from((index as u64) < whole % parts)
 }
--- a/kingcupbay_core/src/share/rebalance.rs
+++ b/kingcupbay_core/src/share/rebalance.rs
@@ -14,7 +14,7 @@
     time::{Instant, Span},
 };
 
-/// Time without a message after which a peer gets no shares and takes no part
+/// Time without slack from a peer after which it gets no shares and takes no part
 /// in rebalancing. It may be dead, and what a dead peer holds is out of use until
 /// the next epoch.
 const PEER_TIMEOUT: Span = Span::from_secs(3);
@@ -37,12 +37,12 @@
 /// that noise does not cause transfers.
 const DEAD_BAND_DIVISOR: u64 = 24;
 
-/// Average use of tokens by callers of one organisation at this entry.
+/// Demand for tokens by callers of one organisation at this entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Demand {
     /// Moving average, in tokens a second.
     rate: u64,
-    /// Tokens used since the last sample.
+    /// Tokens requested since the last sample, less those given back.
     used: Amount,
     /// Time of the last sample.
     sampled_at: Instant,
@@ -77,10 +77,12 @@
     }
 }
 
-/// Last messages of one peer.
+/// Last slack received from one peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
+    /// Time of the last message with slack.
     last_seen: Instant,
+    /// Slack by organisation, and the time it was received.
     slack: BTreeMap<OrganisationId, (Instant, Slack)>,
 }
 
@@ -142,6 +144,7 @@
         empty && self.ledger.all_acknowledged()
     }
 
+    /// Returns the share and demand of one organisation at this entry.
     pub(crate) fn slack_of(&self, now: Instant, organisation: OrganisationId) -> Option<Slack> {
         let account = self.accounts.get(&organisation)?;
         let share = account.bucket.share_at(now);
@@ -267,13 +270,15 @@
         others.filter(|&peer| peer != self.me && !self.leaving.contains(&peer)).collect()
     }
 
-    /// Returns the active peers that sent a message within [`PEER_TIMEOUT`].
+    /// Returns the active peers whose slack came within [`PEER_TIMEOUT`].
     fn live_peers(&self, now: Instant) -> Vec<Holder> {
         let seen = |peer: &Holder| self.peers.get(peer).map(|peer| peer.last_seen);
         let live = |peer: &Holder| seen(peer).is_some_and(|seen| now.since(seen) < PEER_TIMEOUT);
         self.active_peers().into_iter().filter(live).collect()
     }
 
+    /// Sends an equal part of all shares to each live peer, or to each active one
+    /// if none is live.
     fn hand_over(&mut self, now: Instant) -> Vec<Action> {
         let mut peers = self.live_peers(now);
         if peers.is_empty() {
@@ -281,8 +286,8 @@
         }
         peers.retain(|&peer| self.ledger.can_send(peer));
         let mut actions = Vec::new();
-        for (place, &peer) in peers.iter().enumerate() {
-            let left = (peers.len() - place) as u64;
+        for (index, &peer) in peers.iter().enumerate() {
+            let left = (peers.len() - index) as u64;
             let mut wanted = Vec::new();
             for (&organisation, account) in &self.accounts {
                 let Share { rate, capacity, level } = account.bucket.share_at(now);
@@ -299,11 +304,12 @@
         actions
     }
 
+    /// Sends shares to the peers that have more demand for them.
     fn rebalance(&mut self, now: Instant) -> Vec<Action> {
         let mut flows: BTreeMap<Holder, Vec<(OrganisationId, Share)>> = BTreeMap::new();
         let organisations: Vec<_> = self.accounts.keys().copied().collect();
         for organisation in organisations {
-            for (peer, share) in self.flows(now, organisation) {
+            for (peer, share) in self.planned_transfers(now, organisation) {
                 flows.entry(peer).or_default().push((organisation, share));
             }
         }
@@ -315,7 +321,11 @@
     /// Computes the shares of one organisation to send, and their receivers. All
     /// entries compute the same targets from the same records, and each divides
     /// its excess over the deficits, so together they do not send too much.
-    fn flows(&self, now: Instant, organisation: OrganisationId) -> Vec<(Holder, Share)> {
+    fn planned_transfers(
+        &self,
+        now: Instant,
+        organisation: OrganisationId,
+    ) -> Vec<(Holder, Share)> {
         let all = self.participants(now, organisation);
         let demand: u64 = all.iter().map(|one| one.demand).sum();
         if demand == 0 || all.len() < 2 {
@@ -336,10 +346,10 @@
         let level =
             divide_excess(&all, level_of, |whole, one| even(whole / 2) + by_demand(whole / 2, one));
         let mut flows = Vec::new();
-        for (place, peer) in all.iter().enumerate().skip(1) {
-            let level = Amount::from_micros(level[place]);
-            let capacity = Amount::from_micros(headroom[place]) + level;
-            let share = Share { rate: rate[place], capacity, level };
+        for (index, peer) in all.iter().enumerate().skip(1) {
+            let level = Amount::from_micros(level[index]);
+            let capacity = Amount::from_micros(headroom[index]) + level;
+            let share = Share { rate: rate[index], capacity, level };
             if !share.is_empty() {
                 flows.push((peer.holder, share));
             }
@@ -395,6 +405,6 @@
         return vec![0; all.len()];
     }
     // Only half of the excess moves at a time, as the records are not current.
-    let give = excess.div_ceil(2).min(deficits);
-    all.iter().map(|one| scale(give, deficit(one), deficits)).collect()
+    let moved = excess.div_ceil(2).min(deficits);
+    all.iter().map(|one| scale(moved, deficit(one), deficits)).collect()
 }
--- a/kingcupbay_core/src/share/shares.rs
+++ b/kingcupbay_core/src/share/shares.rs
@@ -358,7 +358,7 @@
         let account = self.account(now, organisation);
         let level = account.bucket.share_at(now).level;
         match account.waiting {
-            Some((until, want)) if now < until && me < from => level.saturating_sub(want),
+            Some((until, needed)) if now < until && me < from => level.saturating_sub(needed),
             _ => level,
         }
     }
