--- a/kingcupbay_bench/src/share/shared.rs
+++ b/kingcupbay_bench/src/share/shared.rs
@@ -67,7 +67,7 @@
             Verdict::Granted(reservation) => {
                 Outcome::Granted(Ticket::Shared(self.holders[request.entry], reservation))
             }
-            Verdict::Short { actions, until } => {
+            Verdict::Pending { actions, until } => {
                 self.carry_out(world, request.entry, actions);
                 world.queue.push(until, Event::Wake(id));
                 Outcome::Waiting
@@ -126,8 +126,8 @@
         let total = Total { rate: RATE, burst: self.burst };
         let totals = (0..organisations).map(|organisation| (key(organisation), total));
         let holders: BTreeSet<_> = self.holders.iter().copied().collect();
-        let left = Number(if epoch == 3 { 3 } else { 0 });
-        let plan = Plan { epoch: Number(epoch), holders, left, totals: totals.collect() };
+        let last_removal = Number(if epoch == 3 { 3 } else { 0 });
+        let plan = Plan { epoch: Number(epoch), holders, last_removal, totals: totals.collect() };
         for entry in 0..ENTRIES {
             let shares = self.entries[entry].as_mut().expect("all live when an epoch begins");
             let mut actions = shares.on_plan(world.now, plan.clone());
@@ -151,7 +151,7 @@
         let Some(shares) = &mut self.entries[entry] else {
             return;
         };
-        if world.table_up && shares.missing().next().is_some() {
+        if world.table_up && shares.missing_reports().next().is_some() {
             world.score.table += u64::from(world.score.counts(world.now));
             let actions = shares.on_reports(world.now, &self.reports);
             self.carry_out(world, entry, actions);
@@ -166,7 +166,7 @@
                     world.score.table += u64::from(world.score.counts(world.now));
                     self.reports.push(report);
                 }
-                Action::Arrived(organisation) => world.wake(entry, organisation.raw() as usize),
+                Action::Retry(organisation) => world.wake(entry, organisation.raw() as usize),
             }
         }
     }
--- a/kingcupbay_core/src/share/shares.rs
+++ b/kingcupbay_core/src/share/shares.rs
@@ -1,4 +1,4 @@
-//! The shares of one entry: epochs, admission and transfers.
+//! Shares of one entry: epochs, admission and transfers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,8 +7,8 @@
     bucket::{Bucket, ReservationId, Share},
     ledger::Ledger,
     message::{Ask, Envelope, Message, Part, Transfer},
-    plan::{Grant, Holder, Plan, Report, grant},
-    steer::{Demand, Peer},
+    plan::{Grant, Holder, Plan, Report, compute_grant},
+    rebalance::{Demand, Peer},
 };
 use crate::{
     config::model::Total,
@@ -20,114 +20,121 @@
 /// Time limits of [`Shares`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// How long after a configuration is held by a majority a holder that it
-    /// removed may still have standing: the freshness bound of `standing`,
-    /// and what the clocks of two hosts may differ over it.
-    pub lapse: Span,
-    /// Longest that a request waits for tokens of peers.
+    /// Delay before reclaimed shares are granted, from the time a majority
+    /// holds the configuration of the epoch. A removed holder may have standing
+    /// until then, so this covers the freshness bound of `standing` and the
+    /// drift between the clocks of two hosts over it.
+    pub reclaim_delay: Span,
+    /// Longest wait of a request for tokens from peers.
     pub ask_wait: Span,
-    /// Longest that a request waits for the first grant of its organisation.
+    /// Longest wait of a request for the first grant of its organisation.
     pub grant_wait: Span,
-    /// How long a transfer waits for its receipt before it is sent again.
-    pub resend: Span,
+    /// Time without a receipt after which a transfer is sent again.
+    pub resend_after: Span,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            lapse: Span::from_secs(4),
+            reclaim_delay: Span::from_secs(4),
             ask_wait: Span::from_millis(20),
             grant_wait: Span::from_secs(1),
-            resend: Span::from_millis(100),
+            resend_after: Span::from_millis(100),
         }
     }
 }
 
-/// What the shell is to do.
+/// Action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Send this. It may get lost; nothing need be told about that.
+    /// Sends a message. It may be lost, and a loss need not be reported.
     Send(Envelope),
-    /// Write this to its row, once, until it is known to be there.
+    /// Writes a report to its row; the write is retried until the row is known
+    /// to hold the report.
     Report(Report),
-    /// Something came in: ask again for requests of this organisation that
-    /// were [`Verdict::Short`].
-    Arrived(OrganisationId),
+    /// Calls [`Shares::admit`] again for requests of this organisation that are
+    /// [`Verdict::Pending`]: shares or an answer of a peer arrived.
+    Retry(OrganisationId),
 }
 
-/// Tokens taken for one request. It cannot be copied, so it is settled once.
+/// Tokens reserved for one request. It is not `Clone`, so it is settled at most
+/// once.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reservation {
     organisation: OrganisationId,
     id: ReservationId,
 }
 
-/// Whether a request may run.
+/// Answer of [`Shares::admit`]: whether a request may run.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may; settle the reservation at its end.
+    /// The request may run; its end settles the reservation.
     Granted(Reservation),
-    /// Perhaps peers have enough: carry out the actions, ask again at
-    /// [`Action::Arrived`], and at `until` at the latest.
-    Short {
-        /// Questions to peers.
+    /// Peers may have enough tokens: the caller carries out the actions and
+    /// calls [`Shares::admit`] again at [`Action::Retry`] or at `until`,
+    /// whichever comes first.
+    Pending {
+        /// Requests for tokens to peers, among others.
         actions: Vec<Action>,
-        /// Ask again by then.
+        /// Time of the next call at the latest.
         until: Instant,
     },
-    /// It may not, and has not run.
+    /// The request may not run, and has not run.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         code: Code,
-        /// When the organisation's bucket should have what is missing.
+        /// Time until the organisation should have the missing tokens; `None`
+        /// when that is unknown or never.
         retry_after: Option<Span>,
     },
 }
 
-/// One organisation at this entry.
+/// State of one organisation at this entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Book {
+pub(crate) struct Account {
     pub(crate) bucket: Bucket,
-    /// Whether anything of it was ever held here.
+    /// Whether this entry ever held a share of the organisation.
     used: bool,
     pub(crate) demand: Demand,
-    /// What a waiting request needs, and until when it waits.
-    pub(crate) want: Option<(Instant, Amount)>,
+    /// Deadline and amount of the last request that waits for tokens.
+    pub(crate) waiting: Option<(Instant, Amount)>,
 }
 
-/// The shares of one entry.
+/// Shares of one entry.
 ///
-/// Invariant, over all entries of an epoch: what is in buckets, in transfers
-/// not taken yet and in grants not taken yet sums to at most each
-/// organisation's rate and burst. It holds because a giver deducts before it
-/// sends, a taker adds a transfer once and only within the epoch, and grants
-/// are divided from what the reports of all holders leave.
+/// Invariant, over all entries of an epoch: the shares in buckets, in transfers
+/// not yet accepted and in grants not yet added sum to at most each
+/// organisation's rate and burst. It holds because a sender deducts a share
+/// before it sends it, a receiver adds a transfer once and only within the
+/// epoch, and grants divide only what the reports of all holders leave.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Shares {
     pub(crate) me: Holder,
     pub(crate) settings: Settings,
     pub(crate) plan: Plan,
-    /// Made at the start of the epoch; none when this entry is not a holder.
+    /// Report made at the start of the epoch; `None` unless this entry is a
+    /// holder.
     report: Option<Report>,
     reports: BTreeMap<Holder, Report>,
-    /// When this entry learned that a majority holds the epoch.
+    /// When this entry learned that a majority holds the epoch's configuration.
     in_force: Option<Instant>,
-    /// What is due when old holders' standing has lapsed.
+    /// Grant of this epoch, less the parts already added.
     grant: Option<Grant>,
-    pub(crate) books: BTreeMap<OrganisationId, Book>,
+    pub(crate) accounts: BTreeMap<OrganisationId, Account>,
     pub(crate) ledger: Ledger,
     pub(crate) peers: BTreeMap<Holder, Peer>,
-    /// Questions without an answer, and when they were sent.
-    pub(crate) asked: BTreeMap<(OrganisationId, Holder), Instant>,
-    /// Holders that said they are stopping.
+    /// Send times of [`Message::Ask`]s without an answer.
+    pub(crate) pending_asks: BTreeMap<(OrganisationId, Holder), Instant>,
+    /// Holders that announced a stop.
     pub(crate) leaving: BTreeSet<Holder>,
     pub(crate) stopping: bool,
-    /// Peers told so far, where not all are told at each tick.
-    pub(crate) turn: usize,
+    /// Number of slack messages sent in rotation, which selects the next peers
+    /// when a tick does not reach all of them.
+    pub(crate) rotation: usize,
 }
 
 impl Shares {
-    /// An entry that holds nothing yet.
+    /// Creates the state of an entry that holds nothing yet.
     pub fn new(me: Holder, settings: Settings) -> Shares {
         Shares {
             me,
@@ -137,63 +144,68 @@
             reports: BTreeMap::new(),
             in_force: None,
             grant: None,
-            books: BTreeMap::new(),
+            accounts: BTreeMap::new(),
             ledger: Ledger::default(),
             peers: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            pending_asks: BTreeMap::new(),
             leaving: BTreeSet::new(),
             stopping: false,
-            turn: 0,
+            rotation: 0,
         }
     }
 
-    /// The epoch this entry is in.
+    /// Returns the epoch this entry is in.
     pub fn epoch(&self) -> Number {
         self.plan.epoch
     }
 
-    /// The report of this epoch, to be written to its row.
+    /// Returns the report of this epoch, to be written to its row; `None` unless
+    /// this entry is a holder.
     pub fn report(&self) -> Option<&Report> {
         self.report.as_ref()
     }
 
-    /// Holders whose reports are still missing here; read their rows.
-    pub fn missing(&self) -> impl Iterator<Item = Holder> {
+    /// Returns the holders whose reports this entry has yet to read from their
+    /// rows.
+    pub fn missing_reports(&self) -> impl Iterator<Item = Holder> {
         let holders = self.plan.holders.iter().copied();
         holders.filter(|holder| self.report.is_some() && !self.reports.contains_key(holder))
     }
 
-    /// Whether this entry's grant of the epoch is known and taken.
-    pub fn is_settled(&self) -> bool {
+    /// Returns whether this entry's grant of the epoch is known and fully added.
+    pub fn has_grant(&self) -> bool {
         self.grant.as_ref().is_some_and(|grant| grant.reclaimed.is_empty())
     }
 
-    /// Every organisation known here with its share as it is at `now`.
+    /// Returns every organisation known here with its share at `now`.
     pub fn shares(&self, now: Instant) -> impl Iterator<Item = (OrganisationId, Share)> {
-        self.books.iter().map(move |(&id, book)| (id, book.bucket.share_at(now)))
+        self.accounts.iter().map(move |(&id, account)| (id, account.bucket.share_at(now)))
     }
 
-    /// Whether the division that may give this entry the first of an
-    /// organisation is under way. The callers of a new organisation would be
-    /// refused for as long as the reports travel.
+    /// Returns whether a grant may still give this entry its first share of an
+    /// organisation. Requests wait for it; callers of a new organisation would
+    /// otherwise be refused until all reports have been read.
     fn is_granting(&self, organisation: OrganisationId) -> bool {
-        let used = self.books.get(&organisation).is_some_and(|book| book.used);
+        let used = self.accounts.get(&organisation).is_some_and(|account| account.used);
         self.report.is_some() && self.grant.is_none() && !used
     }
 
-    /// The share of an organisation as it is at `now`.
+    /// Returns the share of an organisation at `now`.
     pub fn share(&self, now: Instant, organisation: OrganisationId) -> Share {
-        self.books.get(&organisation).map(|book| book.bucket.share_at(now)).unwrap_or_default()
+        self.accounts
+            .get(&organisation)
+            .map(|account| account.bucket.share_at(now))
+            .unwrap_or_default()
     }
 
-    /// What is on its way from here and not known to have arrived.
+    /// Returns the shares sent by this entry and not acknowledged yet.
     pub fn outstanding(&self) -> impl Iterator<Item = &Part> {
         self.ledger.outstanding()
     }
 
-    /// Enters the epoch of `plan`. From here on transfers of the epoch before
-    /// are neither sent again nor taken, so what this entry holds now is its
-    /// to report; a lost transfer is in nobody's report and is granted anew.
+    /// Enters the epoch of `plan`. Transfers of the previous epoch are neither
+    /// sent again nor accepted from here on, so this entry reports what it
+    /// holds now; a lost transfer is in no report and is granted anew.
     pub fn on_plan(&mut self, now: Instant, plan: Plan) -> Vec<Action> {
         if plan.epoch <= self.plan.epoch {
             return Vec::new();
@@ -204,11 +216,11 @@
         self.in_force = None;
         self.grant = None;
         self.ledger = Ledger::default();
-        self.asked.clear();
+        self.pending_asks.clear();
         self.leaving.clear();
         self.peers.retain(|peer, _| self.plan.holders.contains(peer));
         if !self.plan.holders.contains(&self.me) {
-            self.books.clear();
+            self.accounts.clear();
             return Vec::new();
         }
         self.rescale(now, &before);
@@ -220,7 +232,7 @@
         actions
     }
 
-    /// Takes in reports as read from their rows.
+    /// Adds reports read from their rows.
     pub fn on_reports(&mut self, now: Instant, reports: &[Report]) -> Vec<Action> {
         for report in reports.iter().filter(|report| report.epoch == self.plan.epoch) {
             if self.plan.holders.contains(&report.holder) {
@@ -230,7 +242,7 @@
         self.settle_grant(now)
     }
 
-    /// A majority of the members holds configuration `number`.
+    /// Records that a majority of the members holds configuration `number`.
     pub fn on_in_force(&mut self, now: Instant, number: Number) -> Vec<Action> {
         if number >= self.plan.epoch && self.in_force.is_none() {
             self.in_force = Some(now);
@@ -238,11 +250,11 @@
         self.settle_grant(now)
     }
 
-    /// Whether a request of `tokens`, which arrived at `since`, may run. At
-    /// the first time of asking `now` is `since`.
+    /// Decides whether a request of `tokens`, which arrived at `since`, may run.
+    /// `now` equals `since` at the first call for a request.
     ///
-    /// `standing` is asked by the caller at this very moment: a holder that
-    /// was removed may have been paused, and others may have its share.
+    /// The caller must read `standing` immediately before the call: this entry
+    /// may have been removed while it was paused, and others may hold its share.
     pub fn admit(
         &mut self,
         now: Instant,
@@ -258,47 +270,48 @@
         if tokens > total.burst {
             return Verdict::Refused { code: Code::OverBurst, retry_after: None };
         }
-        // A grant may have come due; the action wakes requests that wait.
+        // A grant may have become due; its actions retry waiting requests.
         let due = self.settle_grant(now);
         let amount = Amount::from_tokens(tokens);
-        let book = self.book(now, organisation);
+        let account = self.account(now, organisation);
         if now == since {
-            book.demand.count(amount);
+            account.demand.add(amount);
         }
-        let lack = match book.bucket.reserve(now, amount) {
+        let missing = match account.bucket.reserve(now, amount) {
             Ok(id) => {
-                book.want = None;
+                account.waiting = None;
                 return Verdict::Granted(Reservation { organisation, id });
             }
-            Err(short) => short.lack,
+            Err(shortage) => shortage.missing,
         };
         let granting = self.is_granting(organisation);
         let wait = if granting { self.settings.grant_wait } else { self.settings.ask_wait };
         let until = since + wait;
-        let mut actions = self.ask_peers(now, organisation, lack);
+        let mut actions = self.ask_peers(now, organisation, missing);
         let asking = !actions.is_empty() || self.is_asking(now, organisation);
         if now >= until || !(asking || granting) {
-            return self.refuse(now, organisation, total, lack);
+            return self.refuse(now, organisation, total, missing);
         }
-        self.book(now, organisation).want = Some((until, amount));
+        self.account(now, organisation).waiting = Some((until, amount));
         actions.extend(due);
-        Verdict::Short { actions, until }
+        Verdict::Pending { actions, until }
     }
 
-    /// Ends a reservation of which `used` tokens were used.
+    /// Ends a reservation of which `used` tokens were used, and gives back the
+    /// rest.
     pub fn settle(&mut self, now: Instant, reservation: Reservation, used: u64) {
-        if let Some(book) = self.books.get_mut(&reservation.organisation) {
-            let back = book.bucket.settle(now, reservation.id, Amount::from_tokens(used));
-            book.demand.uncount(back);
+        if let Some(account) = self.accounts.get_mut(&reservation.organisation) {
+            let back = account.bucket.settle(now, reservation.id, Amount::from_tokens(used));
+            account.demand.subtract(back);
         }
     }
 
-    /// Takes in a message of another entry.
+    /// Handles a message from another entry.
     pub fn on_message(&mut self, now: Instant, envelope: &Envelope) -> Vec<Action> {
         let Envelope { from, to, epoch, ref message } = *envelope;
         let known = self.plan.holders.contains(&from) && from != self.me;
-        // A message of another epoch may carry what a report left out and a
-        // grant gave out again.
+        // A message of another epoch may carry a share that no report counted
+        // and that has been granted to others since.
         if to != self.me || epoch != self.plan.epoch || !known || self.report.is_none() {
             return Vec::new();
         }
@@ -306,10 +319,10 @@
             Message::Ask(ask) => self.on_ask(now, from, *ask),
             Message::Transfer(transfer) => self.on_transfer(now, from, transfer),
             Message::Receipt { seq, slack } => {
-                self.ledger.settle(from, *seq);
-                self.see(now, from, slack)
+                self.ledger.acknowledge(from, *seq);
+                self.record_slack(now, from, slack)
             }
-            Message::Slack(slack) => self.see(now, from, slack),
+            Message::Slack(slack) => self.record_slack(now, from, slack),
             Message::Leaving => {
                 self.leaving.insert(from);
                 self.peers.remove(&from);
@@ -318,40 +331,41 @@
         }
     }
 
-    /// Sends transfers without a receipt again.
+    /// Sends transfers again that have had no receipt for `resend_after`.
     pub fn resend(&mut self, now: Instant) -> Vec<Action> {
-        let again = self.ledger.resend(now, self.settings.resend);
+        let again = self.ledger.resend(now, self.settings.resend_after);
         let send = |(peer, transfer)| self.send(peer, Message::Transfer(transfer));
         again.into_iter().map(send).collect()
     }
 
     fn on_ask(&mut self, now: Instant, from: Holder, ask: Ask) -> Vec<Action> {
-        let spare = self.spare(now, from, ask.organisation);
-        if spare == Amount::ZERO || !self.ledger.has_room(from) {
+        let spare = self.spare_level(now, from, ask.organisation);
+        if spare == Amount::ZERO || !self.ledger.can_send(from) {
             let slack = self.slack_of(now, ask.organisation).into_iter().collect();
             return vec![self.send(from, Message::Slack(slack))];
         }
-        let rest = spare.saturating_sub(ask.lack);
-        let level = spare.min(ask.lack) + rest.scale(1, 4);
+        let rest = spare.saturating_sub(ask.missing);
+        let level = spare.min(ask.missing) + rest.scale(1, 4);
         let wanted = Share { rate: 0, capacity: level, level };
-        vec![self.give(now, from, &[(ask.organisation, wanted)])]
+        vec![self.send_transfer(now, from, &[(ask.organisation, wanted)])]
     }
 
-    /// What may be given to `from`. Two entries that are both short would
-    /// hand the same tokens to and fro and both refuse; the lesser holder
-    /// keeps what its waiting request needs, the greater one gives.
-    fn spare(&mut self, now: Instant, from: Holder, organisation: OrganisationId) -> Amount {
+    /// Returns the level that may be sent to `from`. Two entries that both lack
+    /// tokens would send the same tokens back and forth and both refuse, so the
+    /// holder with the smaller number keeps what its waiting request needs.
+    fn spare_level(&mut self, now: Instant, from: Holder, organisation: OrganisationId) -> Amount {
         let me = self.me;
-        let book = self.book(now, organisation);
-        let level = book.bucket.share_at(now).level;
-        match book.want {
-            Some((until, want)) if now < until && me < from => level.saturating_sub(want),
+        let account = self.account(now, organisation);
+        let level = account.bucket.share_at(now).level;
+        match account.waiting {
+            Some((until, needed)) if now < until && me < from => level.saturating_sub(needed),
             _ => level,
         }
     }
 
-    /// Deducts shares here and sends them to `peer`.
-    pub(crate) fn give(
+    /// Deducts up to the `wanted` shares from this entry and sends them to
+    /// `peer`.
+    pub(crate) fn send_transfer(
         &mut self,
         now: Instant,
         peer: Holder,
@@ -359,10 +373,10 @@
     ) -> Action {
         let mut parts = Vec::new();
         for &(organisation, wanted) in wanted {
-            let share = self.book(now, organisation).bucket.take(now, wanted);
+            let share = self.account(now, organisation).bucket.take(now, wanted);
             parts.push(Part { organisation, share });
         }
-        let mut transfer = self.ledger.send(now, peer, parts);
+        let mut transfer = self.ledger.open_transfer(now, peer, parts);
         let slack = wanted.iter().filter_map(|&(id, _)| self.slack_of(now, id));
         transfer.slack = slack.collect();
         self.send(peer, Message::Transfer(transfer))
@@ -370,12 +384,12 @@
 
     fn on_transfer(&mut self, now: Instant, from: Holder, transfer: &Transfer) -> Vec<Action> {
         let Transfer { seq, floor, parts, slack } = transfer;
-        let mut actions = self.see(now, from, slack);
-        if self.ledger.take(from, *seq, *floor) {
+        let mut actions = self.record_slack(now, from, slack);
+        if self.ledger.accept(from, *seq, *floor) {
             for part in parts {
                 self.add(now, part.organisation, part.share);
-                self.asked.remove(&(part.organisation, from));
-                actions.push(Action::Arrived(part.organisation));
+                self.pending_asks.remove(&(part.organisation, from));
+                actions.push(Action::Retry(part.organisation));
             }
         }
         let slack = parts.iter().filter_map(|part| self.slack_of(now, part.organisation));
@@ -388,66 +402,75 @@
         Action::Send(Envelope { from: self.me, to, epoch: self.plan.epoch, message })
     }
 
-    pub(crate) fn book(&mut self, now: Instant, organisation: OrganisationId) -> &mut Book {
-        self.books.entry(organisation).or_insert_with(|| Book {
+    pub(crate) fn account(&mut self, now: Instant, organisation: OrganisationId) -> &mut Account {
+        self.accounts.entry(organisation).or_insert_with(|| Account {
             bucket: Bucket::new(now, Share::default()),
             used: false,
             demand: Demand::new(now),
-            want: None,
+            waiting: None,
         })
     }
 
     fn add(&mut self, now: Instant, organisation: OrganisationId, share: Share) {
-        let book = self.book(now, organisation);
-        book.bucket.add(now, share);
-        book.used = true;
+        let account = self.account(now, organisation);
+        account.bucket.add(now, share);
+        account.used = true;
     }
 
     fn rescale(&mut self, now: Instant, before: &Plan) {
         let (old, new) = (&before.totals, &self.plan.totals);
-        self.books.retain(|organisation, _| new.contains_key(organisation));
-        for (organisation, book) in &mut self.books {
+        self.accounts.retain(|organisation, _| new.contains_key(organisation));
+        for (organisation, account) in &mut self.accounts {
             let from = old.get(organisation).copied().unwrap_or_default();
             let to = new[organisation];
             if from != to {
-                book.bucket.rescale(now, from, to);
+                account.bucket.rescale(now, from, to);
             }
         }
     }
 
     fn new_report(&self, before: &Plan) -> Report {
-        let holding = |(&id, book): (&OrganisationId, &Book)| (id, book.bucket.share().into());
-        let held = self.books.iter().map(holding).filter(|(_, held)| *held != Default::default());
+        let holding =
+            |(&id, account): (&OrganisationId, &Account)| (id, account.bucket.share().into());
+        let held =
+            self.accounts.iter().map(holding).filter(|(_, held)| *held != Default::default());
         let new = |id: &&OrganisationId| !before.totals.contains_key(id);
-        // A newcomer cannot witness that an organisation is new.
+        // An entry that was no holder before cannot tell that an organisation
+        // is new.
         let held_before = before.holders.contains(&self.me);
         let fresh = self.plan.totals.keys().filter(new).filter(|_| held_before);
         Report {
             holder: self.me,
             epoch: self.plan.epoch,
             held: held.collect(),
-            used: self.books.iter().filter(|(_, book)| book.used).map(|(&id, _)| id).collect(),
+            used: self
+                .accounts
+                .iter()
+                .filter(|(_, account)| account.used)
+                .map(|(&id, _)| id)
+                .collect(),
             fresh: fresh.copied().collect(),
         }
     }
 
-    /// Takes this entry's grant of the epoch as far as it is due.
+    /// Adds the parts of this entry's grant that are due.
     pub(crate) fn settle_grant(&mut self, now: Instant) -> Vec<Action> {
         let mut due = BTreeMap::new();
         if self.grant.is_none() && self.report.is_some() {
-            self.grant = grant(&self.plan, &self.reports, self.me);
+            self.grant = compute_grant(&self.plan, &self.reports, self.me);
             if let Some(grant) = &mut self.grant {
                 due.append(&mut grant.fresh);
             }
         }
-        let lapsed = self.in_force.is_some_and(|since| now.since(since) >= self.settings.lapse);
+        let lapsed =
+            self.in_force.is_some_and(|since| now.since(since) >= self.settings.reclaim_delay);
         if let Some(grant) = self.grant.as_mut().filter(|_| lapsed) {
             due.append(&mut grant.reclaimed);
         }
         let mut actions = Vec::new();
         for (organisation, share) in due {
             self.add(now, organisation, share);
-            actions.push(Action::Arrived(organisation));
+            actions.push(Action::Retry(organisation));
         }
         actions
     }
@@ -457,13 +480,13 @@
         now: Instant,
         organisation: OrganisationId,
         total: Total,
-        lack: Amount,
+        missing: Amount,
     ) -> Verdict {
-        self.book(now, organisation).want = None;
-        // Peers that come to have something are asked, so the whole
-        // organisation's rate works towards what is missing.
-        let known = self.known(now, organisation);
-        let retry_after = lack.saturating_sub(known).refill_time(total.rate);
+        self.account(now, organisation).waiting = None;
+        // Peers are asked as soon as they should have tokens, so the missing
+        // ones are refilled at the organisation's whole rate.
+        let known = self.total_peer_level(now, organisation);
+        let retry_after = missing.saturating_sub(known).refill_time(total.rate);
         Verdict::Refused { code: Code::OverRate, retry_after }
     }
 }
--- a/kingcupbayd/src/share/mod.rs
+++ b/kingcupbayd/src/share/mod.rs
@@ -43,7 +43,7 @@
     unwritten: RefCell<Option<Report>>,
     /// When the first epoch was entered.
     entered: RefCell<Option<Instant>>,
-    /// Told at [`Action::Arrived`].
+    /// Told at [`Action::Retry`].
     arrived: Notify,
     fleet: Rc<Fleet>,
     table: Table,
@@ -99,7 +99,7 @@
                     return Ok(Reservation { shares: self.clone(), inner: Some(inner), used: 0 });
                 }
                 Verdict::Refused { code, retry_after } => return Err(refusal(code, retry_after)),
-                Verdict::Short { actions, until } => {
+                Verdict::Pending { actions, until } => {
                     self.carry_out(actions);
                     until
                 }
@@ -119,7 +119,7 @@
         let core = self.core.borrow();
         let holds = core.shares(now).any(|(_, share)| !share.is_empty());
         let waited = self.entered.borrow().is_some_and(|at| now.since(at) >= GRANT_WAIT);
-        holds || core.is_settled() || waited
+        holds || core.has_grant() || waited
     }
 
     /// The shares, one line each.
@@ -133,7 +133,7 @@
             format!("share organisation={name} rate={rate} capacity={capacity} level={level}\n")
         };
         let lines: String = core.shares(clock::now()).map(line).collect();
-        format!("shares epoch={} settled={}\n{lines}", core.epoch(), core.is_settled())
+        format!("shares epoch={} settled={}\n{lines}", core.epoch(), core.has_grant())
     }
 
     /// Enters the epoch of the configuration in use.
@@ -141,7 +141,7 @@
         let config = self.fleet.config();
         if config.shares > self.core.borrow().epoch() {
             info!(self.log, ""; "event" => "share_epoch", "epoch" => config.shares.0);
-            let actions = self.core.borrow_mut().on_plan(now, Plan::of(&config));
+            let actions = self.core.borrow_mut().on_plan(now, Plan::from_config(&config));
             if self.core.borrow().report().is_some() {
                 self.entered.borrow_mut().get_or_insert(now);
             }
@@ -158,7 +158,7 @@
             match action {
                 Action::Send(envelope) => envelopes.push(envelope),
                 Action::Report(report) => *self.unwritten.borrow_mut() = Some(report),
-                Action::Arrived(_) => self.arrived.notify_waiters(),
+                Action::Retry(_) => self.arrived.notify_waiters(),
             }
         }
         self.send(envelopes);
