--- a/kingcupbay_bench/src/capacity/config.rs
+++ b/kingcupbay_bench/src/capacity/config.rs
@@ -180,7 +180,7 @@
     let owners: Vec<_> = (0..LOOKUPS).map(owner).collect();
     let version = mean(LOOKUPS, |at| config.version(owners[at as usize], &models[at as usize]));
     let packed = rmp_serde::to_vec(&patch).expect("a patch serialises");
-    let written = accept::txn(Default::default(), 1, &patch);
+    let written = accept::patch_txn(Default::default(), 1, &patch);
     let written = serde_json::to_vec(&written).expect("a transaction serialises");
     vec![
         bytes.len() as f64 / MIB,
--- a/kingcupbay_bench/src/capacity/fleet.rs
+++ b/kingcupbay_bench/src/capacity/fleet.rs
@@ -139,8 +139,8 @@
             let standing = Standing::new(standing::Settings::default());
             let number = incarnation(number);
             let mut gossip = Gossip::new(Settings::default(), standing, number, number);
-            gossip.restored(snapshot.clone());
-            gossip.head_read(Instant::default(), Instant::default(), config.number, &config);
+            gossip.restore(snapshot.clone());
+            gossip.handle_head_read(Instant::default(), Instant::default(), config.number, &config);
             Host { gossip, config: config.clone() }
         });
         let hosts: Vec<Host> = hosts.collect();
@@ -193,7 +193,7 @@
         match event {
             Event::Look(at) => {
                 let actions = self.hosts[at].gossip.tick(now);
-                self.counts.fallen += u64::from(!self.hosts[at].gossip.standing().holds(now));
+                self.counts.fallen += u64::from(!self.hosts[at].gossip.standing().may_act(now));
                 self.act(at, actions);
                 self.push(LOOK, Event::Look(at));
             }
@@ -204,7 +204,7 @@
             }
             Event::Pull { from, to, id, body } => {
                 let pull: Pull = rmp_serde::from_slice(&body).expect("it was encoded here");
-                let (answer, actions) = self.hosts[to].gossip.pulled(now, &pull);
+                let (answer, actions) = self.hosts[to].gossip.answer_pull(now, &pull);
                 self.act(to, actions);
                 let body = rmp_serde::to_vec(&answer).expect("an answer serialises");
                 self.counts.largest = self.counts.largest.max(body.len());
@@ -214,7 +214,7 @@
             Event::Answer { to, id, body } => {
                 let answer: Answer = rmp_serde::from_slice(&body).expect("it was encoded here");
                 let Host { gossip, config } = &mut self.hosts[to];
-                let actions = gossip.answered(now, id, answer, config);
+                let actions = gossip.handle_answer(now, id, answer, config);
                 self.act(to, actions);
             }
             Event::Head { to, sent } => self.read(to, Instant::from_micros(sent)),
@@ -229,10 +229,10 @@
         if let Some(patch) = patch
             && host.config.number < config.number
         {
-            host.gossip.patched(patch.clone(), config);
+            host.gossip.add_patch(patch.clone(), config);
             host.config = config.clone();
         }
-        let actions = host.gossip.head_read(now, sent, config.number, &host.config);
+        let actions = host.gossip.handle_head_read(now, sent, config.number, &host.config);
         self.act(to, actions);
     }
 
--- a/kingcupbay_core/src/claim/event.rs
+++ b/kingcupbay_core/src/claim/event.rs
@@ -26,7 +26,7 @@
     /// No whole answer; the call may have run, or may still do so.
     ServiceLost,
     /// No byte of the call left, and none will.
-    NeverLeft,
+    NotSent,
     /// The caller stops waiting.
     Deadline,
 }
--- a/kingcupbay_core/src/claim/record.rs
+++ b/kingcupbay_core/src/claim/record.rs
@@ -7,15 +7,15 @@
 use crate::id::{Name, OrganisationId, RequestId, RouteId};
 
 /// Prefix of the keys of these rows.
-pub const PREFIX: &str = "claim/";
+pub const ROW_PREFIX: &str = "claim/";
 
 /// Longest answer that is kept: rows of the table are small.
-pub const BODY_MAX: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 
 /// Key of the row for an organisation's idempotency key. Ids of organisations
 /// are never given out twice, and hold no `/`.
 pub fn row_key(organisation: OrganisationId, idempotency: &str) -> String {
-    format!("{PREFIX}{organisation}/{idempotency}")
+    format!("{ROW_PREFIX}{organisation}/{idempotency}")
 }
 
 /// Content of the row.
@@ -65,8 +65,8 @@
 
 impl Outcome {
     /// The outcome as a row can hold it.
-    pub(super) fn kept(&self) -> Outcome {
-        let body = self.body.clone().filter(|body| body.len() <= BODY_MAX);
+    pub(super) fn for_row(&self) -> Outcome {
+        let body = self.body.clone().filter(|body| body.len() <= MAX_BODY_BYTES);
         Outcome { status: self.status, body }
     }
 }
--- a/kingcupbay_core/src/gossip/message.rs
+++ b/kingcupbay_core/src/gossip/message.rs
@@ -5,11 +5,11 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use super::record::{Carried, Seen};
+use super::record::{KnownSequences, RecordUpdate};
 use crate::{
     config::{model::Config, patch::Patch},
     id::{Id, MemberId, Number},
-    standing::Vouch,
+    standing::Confirmation,
     time::Span,
 };
 
@@ -34,7 +34,7 @@
     /// Whether only the answerer's own vouch is wanted.
     pub brief: bool,
     /// What is known of each member's records; none when none are wanted.
-    pub seen: Option<Seen>,
+    pub seen: Option<KnownSequences>,
 }
 
 /// The answer to a [`Pull`].
@@ -58,7 +58,7 @@
     /// Members known to have ended.
     pub ended: Vec<MemberId>,
     /// Records the puller lacks.
-    pub records: Vec<Carried>,
+    pub records: Vec<RecordUpdate>,
 }
 
 /// A whole configuration for a newcomer.
@@ -86,23 +86,33 @@
 /// Packs vouches: first those of members that hold `number`, then the others.
 /// Ages are rounded up, so that none ever shrinks; vouches older than a byte
 /// can say prove nothing to anyone and stay behind.
-pub fn pack(number: Number, vouches: &[Vouch]) -> (Vec<Run>, Vec<Run>) {
-    let (holding, behind): (Vec<&Vouch>, Vec<&Vouch>) =
+pub fn pack(number: Number, vouches: &[Confirmation]) -> (Vec<Run>, Vec<Run>) {
+    let (holding, behind): (Vec<&Confirmation>, Vec<&Confirmation>) =
         vouches.iter().partition(|vouch| vouch.held >= number);
-    (runs(&holding), runs(&behind))
+    (pack_runs(&holding), pack_runs(&behind))
 }
 
 /// The vouches out of [`pack`], where `number` is the answerer's.
-pub fn unpack(number: Number, holding: &[Run], behind: &[Run]) -> Vec<Vouch> {
+pub fn unpack(number: Number, holding: &[Run], behind: &[Run]) -> Vec<Confirmation> {
     // Whoever passes vouches on has dropped those that name anything newer
     // than what it holds itself, so its number bounds theirs.
-    let held = ages(holding).map(|(member, age)| Vouch { member, number, held: number, age });
-    let not = ages(behind).map(|(member, age)| Vouch { member, number, held: Number(0), age });
+    let held = unpack_runs(holding).map(|(member, age)| Confirmation {
+        member,
+        number,
+        held: number,
+        age,
+    });
+    let not = unpack_runs(behind).map(|(member, age)| Confirmation {
+        member,
+        number,
+        held: Number(0),
+        age,
+    });
     held.chain(not).collect()
 }
 
-fn runs(vouches: &[&Vouch]) -> Vec<Run> {
-    let units = |vouch: &&Vouch| {
+fn pack_runs(vouches: &[&Confirmation]) -> Vec<Run> {
+    let units = |vouch: &&Confirmation| {
         let units = vouch.age.as_micros().div_ceil(AGE_UNIT.as_micros());
         Some((vouch.member.raw(), u8::try_from(units).ok()?))
     };
@@ -118,7 +128,7 @@
     runs.into_iter().map(|(gap, ages)| Run { gap, ages: ages.into() }).collect()
 }
 
-fn ages(runs: &[Run]) -> impl Iterator<Item = (MemberId, Span)> {
+fn unpack_runs(runs: &[Run]) -> impl Iterator<Item = (MemberId, Span)> {
     let starts = runs.iter().scan(0u32, |last, run| {
         let first = last.checked_add(run.gap)?;
         *last = first.checked_add(u32::try_from(run.ages.len()).ok()?.checked_sub(1)?)?;
--- a/kingcupbay_core/src/gossip/mod.rs
+++ b/kingcupbay_core/src/gossip/mod.rs
@@ -13,7 +13,7 @@
 //! out in order.
 
 pub mod message;
-mod news;
+mod patches;
 pub mod record;
 
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 };
 
 use message::{Answer, Pull, Snapshot, pack, unpack};
-use news::News;
+use patches::RecentPatches;
 use record::Records;
 
 /// Settings of [`Gossip`].
@@ -41,7 +41,7 @@
     pub fan_out: usize,
     /// Peers pulled at once when a new number was learnt. Three reach all but
     /// some six in a hundred without waiting for a period.
-    pub eager: usize,
+    pub eager_pulls: usize,
     /// Time between two head reads while peers vouch; each daemon's share of
     /// the table's reads. Without their vouches a read goes out every period.
     pub read_period: Span,
@@ -57,7 +57,7 @@
         Settings {
             period: Span::from_millis(250),
             fan_out: 1,
-            eager: 3,
+            eager_pulls: 3,
             read_period: Span::from_secs(2),
             record_rounds: 4,
             timeout: Span::from_secs(1),
@@ -67,7 +67,7 @@
 
 /// One pull in ten goes to any member, so that one whose vouches ran out is
 /// found again; the others go to members that answer.
-const ANY: u64 = 10;
+const ANY_MEMBER_PERIOD: u64 = 10;
 
 /// Names a pull on its way; answers come back with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -98,7 +98,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Flight {
+struct PendingPull {
     to: MemberId,
     sent: Instant,
 }
@@ -109,14 +109,14 @@
     settings: Settings,
     incarnation: u64,
     standing: Standing,
-    news: News,
+    patches: RecentPatches,
     records: Records,
     random: Random,
-    flights: BTreeMap<PullId, Flight>,
-    next: PullId,
+    pending: BTreeMap<PullId, PendingPull>,
+    next_id: PullId,
     rounds: u32,
-    pulled: Option<Instant>,
-    read: Option<Instant>,
+    last_round: Option<Instant>,
+    last_read: Option<Instant>,
 }
 
 impl Gossip {
@@ -127,14 +127,14 @@
             settings,
             incarnation,
             standing,
-            news: News::default(),
+            patches: RecentPatches::default(),
             records: Records::default(),
             random: Random::new(seed),
-            flights: BTreeMap::new(),
-            next: PullId(0),
+            pending: BTreeMap::new(),
+            next_id: PullId(0),
             rounds: 0,
-            pulled: None,
-            read: None,
+            last_round: None,
+            last_read: None,
         }
     }
 
@@ -156,19 +156,19 @@
     /// Time passes: pulls and reads that are due.
     pub fn tick(&mut self, now: Instant) -> Vec<Action> {
         let timeout = self.settings.timeout;
-        self.flights.retain(|_, flight| now.since(flight.sent) <= timeout);
+        self.pending.retain(|_, flight| now.since(flight.sent) <= timeout);
         let mut actions = Vec::new();
-        if self.due(self.pulled, self.settings.period, now) {
-            self.pulled = Some(now);
+        if self.is_due(self.last_round, self.settings.period, now) {
+            self.last_round = Some(now);
             self.rounds += 1;
             let records = self.rounds.is_multiple_of(self.settings.record_rounds);
-            self.round(now, self.settings.fan_out, records, &mut actions);
+            self.pull_peers(now, self.settings.fan_out, records, &mut actions);
         }
-        let vouched = self.standing.vouched_for(now) && !self.standing.behind();
+        let vouched = self.standing.has_majority(now) && !self.standing.is_behind();
         let hurried = self.settings.period.min(self.settings.read_period);
         let pause = if vouched { self.settings.read_period } else { hurried };
-        if self.due(self.read, pause, now) {
-            self.read = Some(now);
+        if self.is_due(self.last_read, pause, now) {
+            self.last_read = Some(now);
             actions.push(Action::ReadHead);
         }
         actions
@@ -177,39 +177,39 @@
     /// Pulls every member that is not known to hold the number held here, and
     /// asks for nothing but its own vouch. For a daemon that waits for a
     /// majority: it should not take as long as gossip does.
-    pub fn settle(&mut self, now: Instant) -> Vec<Action> {
+    pub fn pull_missing(&mut self, now: Instant) -> Vec<Action> {
         let membership = self.standing.membership();
         let both = membership.members.union(&membership.before);
-        let asked = |id: MemberId| self.flights.values().any(|flight| flight.to == id);
-        let lacks = |id: &MemberId| !self.standing.has(*id) && !asked(*id);
+        let asked = |id: MemberId| self.pending.values().any(|flight| flight.to == id);
+        let lacks = |id: &MemberId| !self.standing.holds_current(*id) && !asked(*id);
         let missing: Vec<_> = both.copied().filter(lacks).collect();
-        missing.into_iter().map(|to| self.pull(now, to, true, false)).collect()
+        missing.into_iter().map(|to| self.start_pull(now, to, true, false)).collect()
     }
 
     /// A peer pulls this daemon.
-    pub fn pulled(&mut self, now: Instant, pull: &Pull) -> (Answer, Vec<Action>) {
+    pub fn answer_pull(&mut self, now: Instant, pull: &Pull) -> (Answer, Vec<Action>) {
         let mut actions = Vec::new();
         if let Some(member) = pull.member {
-            self.standing.holding(member, pull.number);
+            self.standing.record_held(member, pull.number);
             if pull.number > self.standing.number() {
-                actions.push(self.pull(now, member, true, false));
+                actions.push(self.start_pull(now, member, true, false));
             }
         }
-        (self.answer(now, pull), actions)
+        (self.build_answer(now, pull), actions)
     }
 
     /// The answer to a pull. An id that is not on its way any more, because
     /// the answer came already or too late, changes nothing.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         now: Instant,
         id: PullId,
         answer: Answer,
         config: &Config,
     ) -> Vec<Action> {
-        let Some(flight) = self.flights.remove(&id) else { return Vec::new() };
+        let Some(flight) = self.pending.remove(&id) else { return Vec::new() };
         let mut actions = Vec::new();
-        self.meet(flight.to, &answer, config);
+        self.check_incarnation(flight.to, &answer, config);
         self.take_patches(now, &answer, config, &mut actions);
         if answer.number > self.standing.number() {
             actions.push(match answer.truncated {
@@ -218,27 +218,27 @@
             });
         }
         for member in answer.silent {
-            self.standing.holding(member, answer.number);
+            self.standing.record_held(member, answer.number);
         }
         for member in answer.ended {
-            self.standing.ended(member);
+            self.standing.record_end(member);
         }
         for vouch in unpack(answer.number, &answer.holding, &answer.behind) {
-            self.standing.vouched(vouch, flight.sent);
+            self.standing.record_confirmation(vouch, flight.sent);
         }
         self.records.merge(answer.records);
         actions
     }
 
     /// A pull got no answer.
-    pub fn failed(&mut self, id: PullId) {
-        self.flights.remove(&id);
+    pub fn forget_pull(&mut self, id: PullId) {
+        self.pending.remove(&id);
     }
 
     /// The head read that was sent at `sent` found `head` in force and, after
     /// the configuration in use, these patches in order. `config` is the one
     /// that results; it is the same as before when there are none.
-    pub fn head_read(
+    pub fn handle_head_read(
         &mut self,
         now: Instant,
         sent: Instant,
@@ -246,31 +246,31 @@
         config: &Config,
     ) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.follow(config);
-        self.standing.head_read(head, sent);
-        self.recognise(config);
-        if self.news.moved() {
-            self.round(now, self.settings.eager, false, &mut actions);
+        self.advance(config);
+        self.standing.record_head_read(head, sent);
+        self.find_own_join(config);
+        if self.patches.take_changed() {
+            self.pull_peers(now, self.settings.eager_pulls, false, &mut actions);
         }
         actions
     }
 
     /// One patch read from the table or written there: `config` results.
-    pub fn patched(&mut self, patch: crate::config::patch::Patch, config: &Config) {
+    pub fn add_patch(&mut self, patch: crate::config::patch::Patch, config: &Config) {
         if config.number == self.standing.number().next() {
-            self.news.add(config.number, patch);
-            self.follow(config);
+            self.patches.add(config.number, patch);
+            self.advance(config);
         }
     }
 
     /// A whole configuration from a peer or the object store.
-    pub fn restored(&mut self, snapshot: Snapshot) -> Vec<Action> {
+    pub fn restore(&mut self, snapshot: Snapshot) -> Vec<Action> {
         if snapshot.config.number <= self.standing.number() {
             return Vec::new();
         }
-        self.news.clear();
-        self.standing.advance(Membership::of(&snapshot.config, snapshot.before));
-        self.records.keep(&self.standing.membership().members);
+        self.patches.clear();
+        self.standing.advance(Membership::from_config(&snapshot.config, snapshot.before));
+        self.records.retain(&self.standing.membership().members);
         vec![Action::Adopt(Box::new(snapshot.config))]
     }
 
@@ -282,10 +282,10 @@
 
     /// Who it was that answered. Another incarnation at a member's address
     /// means that the member has ended, since it gave the address free.
-    fn meet(&mut self, to: MemberId, answer: &Answer, config: &Config) {
+    fn check_incarnation(&mut self, to: MemberId, answer: &Answer, config: &Config) {
         let expected = config.members.get(to).map(|row| row.incarnation);
         if expected.is_some_and(|incarnation| incarnation != answer.incarnation) {
-            self.standing.ended(to);
+            self.standing.record_end(to);
         }
     }
 
@@ -304,23 +304,23 @@
             }
             let next = current.patched(patch);
             let next = next.expect("the writer checked the patch against the same rows");
-            self.patched(patch.clone(), &next);
+            self.add_patch(patch.clone(), &next);
             newest = Some(next);
         }
         if let Some(config) = newest {
             actions.push(Action::Adopt(Box::new(config)));
-            self.news.moved();
-            self.round(now, self.settings.eager, false, actions);
+            self.patches.take_changed();
+            self.pull_peers(now, self.settings.eager_pulls, false, actions);
         }
     }
 
-    fn answer(&self, now: Instant, pull: &Pull) -> Answer {
+    fn build_answer(&self, now: Instant, pull: &Pull) -> Answer {
         let standing = &self.standing;
         let number = standing.number();
-        let own = standing.own().into_iter().collect();
-        let vouches = if pull.brief { own } else { standing.vouches(now) };
+        let own = standing.own_confirmation().into_iter().collect();
+        let vouches = if pull.brief { own } else { standing.confirmations(now) };
         let (holding, behind) = pack(number, &vouches);
-        let (patches, truncated) = self.news.since(pull.number, number);
+        let (patches, truncated) = self.patches.since(pull.number, number);
         Answer {
             incarnation: self.incarnation,
             number,
@@ -334,54 +334,57 @@
         }
     }
 
-    fn follow(&mut self, config: &Config) {
+    fn advance(&mut self, config: &Config) {
         if config.number > self.standing.number() {
             self.standing.advance(self.standing.membership().next(config));
-            self.records.keep(&self.standing.membership().members);
+            self.records.retain(&self.standing.membership().members);
         }
     }
 
     /// Looks for this incarnation's own join, in what the table has shown.
-    fn recognise(&mut self, config: &Config) {
+    fn find_own_join(&mut self, config: &Config) {
         let own = config.members.iter().find(|(_, row)| row.incarnation == self.incarnation);
         if let Some((id, _)) = own
             && self.standing.me() != Some(id)
         {
-            self.standing.joined(id);
-            self.records.joined(id);
+            self.standing.record_join(id);
+            self.records.set_own_id(id);
         }
     }
 
-    fn round(&mut self, now: Instant, count: usize, records: bool, actions: &mut Vec<Action>) {
-        for to in self.choose(now, count) {
-            actions.push(self.pull(now, to, false, records));
+    fn pull_peers(&mut self, now: Instant, count: usize, records: bool, actions: &mut Vec<Action>) {
+        for to in self.choose_peers(now, count) {
+            actions.push(self.start_pull(now, to, false, records));
         }
     }
 
-    fn pull(&mut self, now: Instant, to: MemberId, brief: bool, records: bool) -> Action {
-        let id = self.next;
-        self.next = PullId(id.0 + 1);
-        self.flights.insert(id, Flight { to, sent: now });
+    fn start_pull(&mut self, now: Instant, to: MemberId, brief: bool, records: bool) -> Action {
+        let id = self.next_id;
+        self.next_id = PullId(id.0 + 1);
+        self.pending.insert(id, PendingPull { to, sent: now });
         let pull = Pull {
-            member: self.standing.own().map(|own| own.member),
+            member: self.standing.own_confirmation().map(|own| own.member),
             number: self.standing.number(),
             brief,
-            seen: records.then(|| self.records.seen()),
+            seen: records.then(|| self.records.known_sequences()),
         };
         Action::SendPull { id, to, pull }
     }
 
-    fn choose(&mut self, now: Instant, count: usize) -> Vec<MemberId> {
+    fn choose_peers(&mut self, now: Instant, count: usize) -> Vec<MemberId> {
         let me = self.standing.me();
         let others = self.standing.membership().members.iter().copied();
         let others: Vec<_> = others.filter(|id| Some(*id) != me).collect();
-        let answering: Vec<_> =
-            others.iter().copied().filter(|id| self.standing.answers(*id, now)).collect();
-        let any = answering.is_empty() || self.random.below(ANY) == 0;
+        let answering: Vec<_> = others
+            .iter()
+            .copied()
+            .filter(|id| self.standing.confirmed_recently(*id, now))
+            .collect();
+        let any = answering.is_empty() || self.random.below(ANY_MEMBER_PERIOD) == 0;
         self.random.pick(if any { others } else { answering }, count)
     }
 
-    fn due(&self, last: Option<Instant>, period: Span, now: Instant) -> bool {
+    fn is_due(&self, last: Option<Instant>, period: Span, now: Instant) -> bool {
         last.is_none_or(|last| now.since(last) >= period)
     }
 }
--- a/kingcupbay_core/src/gossip/news.rs
+++ b/kingcupbay_core/src/gossip/patches.rs
@@ -6,31 +6,31 @@
 
 /// Patches kept. At 780 a day a daemon that was cut off for an hour still
 /// catches up by patches.
-const KEPT: usize = 64;
+const MAX_PATCHES: usize = 64;
 
 /// Changes carried in one answer. A declaration of thousands of rows is one
 /// patch, and always carried; behind it the next pull brings more.
-const CHANGES: usize = 256;
+const MAX_ANSWER_CHANGES: usize = 256;
 
 /// The newest patches by the number they made.
 #[derive(Debug, Default)]
-pub(super) struct News {
+pub(super) struct RecentPatches {
     patches: BTreeMap<Number, Patch>,
-    moved: bool,
+    changed: bool,
 }
 
-impl News {
+impl RecentPatches {
     pub(super) fn add(&mut self, number: Number, patch: Patch) {
         self.patches.insert(number, patch);
-        self.moved = true;
-        while self.patches.len() > KEPT {
+        self.changed = true;
+        while self.patches.len() > MAX_PATCHES {
             self.patches.pop_first();
         }
     }
 
     /// Whether a number was added since this was last asked.
-    pub(super) fn moved(&mut self) -> bool {
-        std::mem::take(&mut self.moved)
+    pub(super) fn take_changed(&mut self) -> bool {
+        std::mem::take(&mut self.changed)
     }
 
     /// After a gap the older patches lead nowhere.
@@ -51,7 +51,7 @@
         let few = |patch: &&Patch| {
             let first = changes == 0;
             changes += patch.changes.len().max(1);
-            first || changes <= CHANGES
+            first || changes <= MAX_ANSWER_CHANGES
         };
         let patches = self.patches.range(known.next()..).map(|(_, patch)| patch);
         (patches.take_while(few).cloned().collect(), false)
--- a/kingcupbay_core/src/gossip/record.rs
+++ b/kingcupbay_core/src/gossip/record.rs
@@ -10,7 +10,7 @@
 use crate::id::{Id, MemberId};
 
 /// Bytes of records in one answer; the rest comes with the next.
-const ANSWER_BYTES: usize = 16 * 1024;
+const MAX_ANSWER_BYTES: usize = 16 * 1024;
 
 /// What a record is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,14 +35,14 @@
 /// A record on its way.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Carried(pub MemberId, pub Topic, pub u32, pub Bytes);
+pub struct RecordUpdate(pub MemberId, pub Topic, pub u32, pub Bytes);
 
 /// Newest sequence number known of each member, as flat pairs of (distance
 /// from the previous id, sequence number).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Seen(Vec<u32>);
+pub struct KnownSequences(Vec<u32>);
 
 /// Everything known of everybody's records.
 #[derive(Clone, Debug, Default)]
@@ -54,12 +54,12 @@
 
 impl Records {
     /// This daemon's own id; its records start anew under it.
-    pub(super) fn joined(&mut self, me: MemberId) {
+    pub(super) fn set_own_id(&mut self, me: MemberId) {
         self.me = Some(me);
     }
 
     /// Drops the records of all but `members`.
-    pub(super) fn keep(&mut self, members: &BTreeSet<MemberId>) {
+    pub(super) fn retain(&mut self, members: &BTreeSet<MemberId>) {
         self.load.retain(|id, _| members.contains(id));
         self.slack.retain(|id, _| members.contains(id));
     }
@@ -68,22 +68,22 @@
     /// the daemon has joined there is nobody to publish as.
     pub fn publish(&mut self, topic: Topic, body: Bytes) {
         let Some(me) = self.me else { return };
-        if self.of(topic).get(&me).is_some_and(|record| record.body == body) {
+        if self.by_topic(topic).get(&me).is_some_and(|record| record.body == body) {
             return;
         }
-        let sequence = self.newest(me) + 1;
-        self.of_mut(topic).insert(me, Record { sequence, body });
+        let sequence = self.newest_sequence(me) + 1;
+        self.by_topic_mut(topic).insert(me, Record { sequence, body });
     }
 
     /// The records of a topic by member.
-    pub fn of(&self, topic: Topic) -> &BTreeMap<MemberId, Record> {
+    pub fn by_topic(&self, topic: Topic) -> &BTreeMap<MemberId, Record> {
         match topic {
             Topic::Load => &self.load,
             Topic::Slack => &self.slack,
         }
     }
 
-    fn of_mut(&mut self, topic: Topic) -> &mut BTreeMap<MemberId, Record> {
+    fn by_topic_mut(&mut self, topic: Topic) -> &mut BTreeMap<MemberId, Record> {
         match topic {
             Topic::Load => &mut self.load,
             Topic::Slack => &mut self.slack,
@@ -91,59 +91,60 @@
     }
 
     /// Takes newer records in.
-    pub(super) fn merge(&mut self, carried: Vec<Carried>) {
-        for Carried(member, topic, sequence, body) in carried {
-            let record = self.of_mut(topic).entry(member).or_default();
+    pub(super) fn merge(&mut self, carried: Vec<RecordUpdate>) {
+        for RecordUpdate(member, topic, sequence, body) in carried {
+            let record = self.by_topic_mut(topic).entry(member).or_default();
             // A late answer must not bring an older state back.
             if sequence > record.sequence && self.me != Some(member) {
-                *self.of_mut(topic).entry(member).or_default() = Record { sequence, body };
+                *self.by_topic_mut(topic).entry(member).or_default() = Record { sequence, body };
             }
         }
     }
 
     /// What is known, for the next pull.
-    pub(super) fn seen(&self) -> Seen {
+    pub(super) fn known_sequences(&self) -> KnownSequences {
         let members: BTreeSet<_> = self.load.keys().chain(self.slack.keys()).copied().collect();
         let mut flat = Vec::with_capacity(members.len() * 2);
         let mut last = 0;
         for member in members {
             flat.push(member.raw() - last);
-            flat.push(self.newest(member));
+            flat.push(self.newest_sequence(member));
             last = member.raw();
         }
-        Seen(flat)
+        KnownSequences(flat)
     }
 
     /// Records newer than `seen`, a member's either all or none: the puller's
     /// next list names one number for both topics.
-    pub(super) fn since(&self, seen: &Seen) -> Vec<Carried> {
+    pub(super) fn since(&self, seen: &KnownSequences) -> Vec<RecordUpdate> {
         let seen = seen.by_member();
         let members: BTreeSet<_> = self.load.keys().chain(self.slack.keys()).copied().collect();
         let (mut carried, mut bytes) = (Vec::new(), 0);
         for member in members {
             let known = seen.get(&member).copied().unwrap_or(0);
             for topic in [Topic::Load, Topic::Slack] {
-                let Some(record) = self.of(topic).get(&member) else { continue };
+                let Some(record) = self.by_topic(topic).get(&member) else { continue };
                 if record.sequence > known {
                     bytes += record.body.len();
                     let body = record.body.clone();
-                    carried.push(Carried(member, topic, record.sequence, body));
+                    carried.push(RecordUpdate(member, topic, record.sequence, body));
                 }
             }
-            if bytes > ANSWER_BYTES {
+            if bytes > MAX_ANSWER_BYTES {
                 break;
             }
         }
         carried
     }
 
-    fn newest(&self, member: MemberId) -> u32 {
-        let sequence = |topic| self.of(topic).get(&member).map_or(0, |record| record.sequence);
+    fn newest_sequence(&self, member: MemberId) -> u32 {
+        let sequence =
+            |topic| self.by_topic(topic).get(&member).map_or(0, |record| record.sequence);
         sequence(Topic::Load).max(sequence(Topic::Slack))
     }
 }
 
-impl Seen {
+impl KnownSequences {
     fn by_member(&self) -> BTreeMap<MemberId, u32> {
         let (pairs, _) = self.0.as_chunks::<2>();
         let ids = pairs.iter().scan(0u32, |last, &[gap, sequence]| {
--- a/kingcupbay_core/src/standing/accept.rs
+++ b/kingcupbay_core/src/standing/accept.rs
@@ -56,12 +56,12 @@
     stage: Stage,
     /// Whether a write is out whose answer never came. It may take effect
     /// later than a read that does not find it.
-    doubt: bool,
+    in_doubt: bool,
 }
 
 /// What can be said of a patch at any time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum WriteOutcome {
     /// It is not in the table, and never will be unless it is sent again.
     NotWritten,
     /// The table may have taken it, or may yet.
@@ -73,17 +73,17 @@
 impl Acceptance {
     /// Begins with a patch as an operator sent it, perhaps again.
     pub fn new(patch: &Patch) -> Acceptance {
-        Acceptance { id: patch.id, against: patch.against, stage: Stage::Ready, doubt: false }
+        Acceptance { id: patch.id, against: patch.against, stage: Stage::Ready, in_doubt: false }
     }
 
     /// The write was answered, or its answer was lost (`None`). The table may
     /// have taken a write whose answer is lost, and a conflict may be with
     /// this patch's own earlier write; both show in the delta row only.
-    pub fn written(&mut self, answer: Option<&TxnAnswer>) {
+    pub fn finish_write(&mut self, answer: Option<&TxnAnswer>) {
         if self.stage != Stage::Writing {
             return;
         }
-        self.doubt |= answer.is_none();
+        self.in_doubt |= answer.is_none();
         self.stage = match answer {
             Some(TxnAnswer::Committed) => Stage::Taken,
             Some(TxnAnswer::Conflict(_)) | None => Stage::Unknown,
@@ -91,14 +91,14 @@
     }
 
     /// The write provably never arrived.
-    pub fn unsent(&mut self) {
+    pub fn cancel_write(&mut self) {
         if self.stage == Stage::Writing {
             self.stage = Stage::Ready;
         }
     }
 
     /// The delta row of the number this patch asks for holds the patch `found`.
-    pub fn resolved(&mut self, found: Option<RequestId>) {
+    pub fn resolve(&mut self, found: Option<RequestId>) {
         self.stage = match (self.stage, found) {
             (Stage::Unknown | Stage::Ready, Some(id)) if id == self.id => Stage::Taken,
             (Stage::Unknown | Stage::Ready, Some(_)) => Stage::Lost,
@@ -111,17 +111,17 @@
     }
 
     /// The write is sent. Until it is answered no second one is.
-    pub fn writing(&mut self) {
+    pub fn begin_write(&mut self) {
         self.stage = Stage::Writing;
     }
 
     /// What can be said of the patch now.
-    pub fn fate(&self) -> Fate {
+    pub fn outcome(&self) -> WriteOutcome {
         match self.stage {
-            Stage::Taken => Fate::Taken(self.number()),
-            Stage::Lost => Fate::NotWritten,
-            Stage::Ready if !self.doubt => Fate::NotWritten,
-            Stage::Ready | Stage::Writing | Stage::Unknown => Fate::Unknown,
+            Stage::Taken => WriteOutcome::Taken(self.number()),
+            Stage::Lost => WriteOutcome::NotWritten,
+            Stage::Ready if !self.in_doubt => WriteOutcome::NotWritten,
+            Stage::Ready | Stage::Writing | Stage::Unknown => WriteOutcome::Unknown,
         }
     }
 
@@ -131,13 +131,13 @@
     }
 
     /// What to do next.
-    pub fn step(&self, standing: &Standing) -> Step {
+    pub fn next_step(&self, standing: &Standing) -> Step {
         let current = standing.number();
         match self.stage {
             Stage::Writing => Step::Wait,
             Stage::Unknown => Step::Resolve(self.number()),
             Stage::Lost => Step::Stale,
-            Stage::Taken if standing.settled(self.number()) => Step::Acknowledge(self.number()),
+            Stage::Taken if standing.is_stable(self.number()) => Step::Acknowledge(self.number()),
             Stage::Taken if current < self.number() => Step::CatchUp,
             Stage::Taken => Step::Wait,
             Stage::Ready if current < self.against => Step::CatchUp,
@@ -145,7 +145,7 @@
             // A daemon may still stand on the number before the current one.
             // Its majority must meet the one that holds the current number,
             // so that one has to be there before the next number is.
-            Stage::Ready if !standing.settled(current) => Step::Wait,
+            Stage::Ready if !standing.is_stable(current) => Step::Wait,
             Stage::Ready => Step::Write,
         }
     }
@@ -153,7 +153,7 @@
 
 /// Whether `patch` may be written on top of `config`: it is not stale, each of
 /// its changes checks, and it moves membership by one member or not at all.
-pub fn check(config: &Config, patch: &Patch) -> Result<Config, PatchError> {
+pub fn check_patch(config: &Config, patch: &Patch) -> Result<Config, PatchError> {
     let moves = |change: &Change| matches!(change, Change::Join { .. } | Change::Leave { .. });
     // Majorities meet across one step of membership only.
     if patch.changes.len() > 1 && patch.changes.iter().any(moves) {
@@ -164,7 +164,7 @@
 
 /// The conditional write of `patch`. `head` is the head row as last read, with
 /// the row's revision; a table without that row has `Head::default()` and 0.
-pub fn txn(head: Head, revision: u64, patch: &Patch) -> Txn {
+pub fn patch_txn(head: Head, revision: u64, patch: &Patch) -> Txn {
     let number = patch.against.next();
     let head = Head { number, ..head };
     let delta = delta_key(number);
--- a/kingcupbay_core/src/standing/membership.rs
+++ b/kingcupbay_core/src/standing/membership.rs
@@ -22,24 +22,24 @@
 impl Membership {
     /// The membership of `config`, where `before` were the members under the
     /// number before it.
-    pub fn of(config: &Config, before: BTreeSet<MemberId>) -> Membership {
+    pub fn from_config(config: &Config, before: BTreeSet<MemberId>) -> Membership {
         let members = config.members.iter().map(|(id, _)| id).collect();
         Membership { number: config.number, members, before }
     }
 
     /// The membership under `next`, the configuration that follows this one.
     pub fn next(&self, next: &Config) -> Membership {
-        Membership::of(next, self.members.clone())
+        Membership::from_config(next, self.members.clone())
     }
 
     /// Whether `member` counts in either set.
-    pub fn counts(&self, member: MemberId) -> bool {
+    pub fn includes(&self, member: MemberId) -> bool {
         self.members.contains(&member) || self.before.contains(&member)
     }
 
     /// Whether `holds` is true of half of each set or more, so that every
     /// majority of the set has such a member.
-    pub(super) fn halves(&self, holds: impl Fn(MemberId) -> bool) -> bool {
+    pub(super) fn half_of_each(&self, holds: impl Fn(MemberId) -> bool) -> bool {
         let half = |set: &BTreeSet<MemberId>| {
             set.iter().filter(|id| holds(**id)).count() >= set.len().div_ceil(2)
         };
--- a/kingcupbay_core/src/standing/mod.rs
+++ b/kingcupbay_core/src/standing/mod.rs
@@ -22,7 +22,7 @@
 
 pub mod accept;
 mod membership;
-mod seen;
+mod proof;
 
 use std::collections::BTreeMap;
 
@@ -32,7 +32,7 @@
 };
 
 pub use membership::Membership;
-use seen::Seen;
+use proof::Proof;
 
 /// How old the newest proof may be.
 ///
@@ -40,7 +40,7 @@
 /// 2 s for the patch to be held by a majority and for running streams to be
 /// ended, and are twelve of today's pull periods of 250 ms: a vouch reaches
 /// 340 members by pulls of one peer a period in about half of that.
-pub const BOUND: Span = Span::from_secs(3);
+pub const FRESHNESS_BOUND: Span = Span::from_secs(3);
 
 /// Settings of [`Standing`]; the same for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -51,13 +51,13 @@
 
 impl Default for Settings {
     fn default() -> Settings {
-        Settings { bound: BOUND }
+        Settings { bound: FRESHNESS_BOUND }
     }
 }
 
 /// What one daemon can say about a member, itself included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Vouch {
+pub struct Confirmation {
     /// Who vouches. A restarted daemon is another member.
     pub member: MemberId,
     /// It knew nothing newer than this.
@@ -76,7 +76,7 @@
     /// Whether it is known to have ended. It will vouch for nothing any more,
     /// so it cannot vouch for an old number: it counts as holding every one.
     ended: bool,
-    seen: Seen,
+    proof: Proof,
 }
 
 /// What this daemon knows about how recent its knowledge is.
@@ -89,7 +89,7 @@
     /// Set once a read of the table has shown this incarnation's own join.
     me: Option<MemberId>,
     /// Reads of the table.
-    table: Seen,
+    table: Proof,
     peers: BTreeMap<MemberId, Peer>,
 }
 
@@ -100,7 +100,7 @@
             settings,
             membership: Membership::default(),
             me: None,
-            table: Seen::default(),
+            table: Proof::default(),
             peers: BTreeMap::new(),
         }
     }
@@ -112,10 +112,10 @@
             return;
         }
         let number = membership.number;
-        self.peers.retain(|id, _| membership.counts(*id));
+        self.peers.retain(|id, _| membership.includes(*id));
         self.table.advance(number);
         for peer in self.peers.values_mut() {
-            peer.seen.advance(number);
+            peer.proof.advance(number);
         }
         self.membership = membership;
     }
@@ -126,7 +126,7 @@
     /// patches that the member held, and which were acknowledged on its word,
     /// would be missing from what it vouches for. A new id vouches for nothing
     /// that was acknowledged before it joined.
-    pub fn joined(&mut self, me: MemberId) {
+    pub fn record_join(&mut self, me: MemberId) {
         self.me = Some(me);
     }
 
@@ -134,24 +134,24 @@
     ///
     /// Timed from the sending: the answer may be as old as that, and a read
     /// timed from its answer would hide a patch acknowledged while it travelled.
-    pub fn head_read(&mut self, number: Number, sent: Instant) {
-        self.table.add(number, sent, self.membership.number);
+    pub fn record_head_read(&mut self, number: Number, sent: Instant) {
+        self.table.record(number, sent, self.membership.number);
     }
 
     /// A vouch out of the answer to a pull that was sent at `sent`.
-    pub fn vouched(&mut self, vouch: Vouch, sent: Instant) {
-        if self.me == Some(vouch.member) || !self.membership.counts(vouch.member) {
+    pub fn record_confirmation(&mut self, vouch: Confirmation, sent: Instant) {
+        if self.me == Some(vouch.member) || !self.membership.includes(vouch.member) {
             return;
         }
         let peer = self.peers.entry(vouch.member).or_default();
         peer.held = peer.held.max(vouch.held);
-        peer.seen.add(vouch.number, sent - vouch.age, self.membership.number);
+        peer.proof.record(vouch.number, sent - vouch.age, self.membership.number);
     }
 
     /// `member` holds `number`, said without an age: out of a pull itself,
     /// whose time on the way nobody knows.
-    pub fn holding(&mut self, member: MemberId, number: Number) {
-        if self.me != Some(member) && self.membership.counts(member) {
+    pub fn record_held(&mut self, member: MemberId, number: Number) {
+        if self.me != Some(member) && self.membership.includes(member) {
             let peer = self.peers.entry(member).or_default();
             peer.held = peer.held.max(number);
         }
@@ -162,8 +162,8 @@
     ///
     /// Guards against a fleet that restarted as a whole and could never again
     /// show that a majority of its former members holds a patch.
-    pub fn ended(&mut self, member: MemberId) {
-        if self.me != Some(member) && self.membership.counts(member) {
+    pub fn record_end(&mut self, member: MemberId) {
+        if self.me != Some(member) && self.membership.includes(member) {
             self.peers.entry(member).or_default().ended = true;
         }
     }
@@ -173,14 +173,15 @@
     ///
     /// Only members may: one that was paused and replaced meanwhile, or was
     /// removed, would otherwise go on beside its successor.
-    pub fn holds(&self, now: Instant) -> bool {
-        self.is_member() && (self.fresh(now) || self.vouched_for(now))
+    pub fn may_act(&self, now: Instant) -> bool {
+        self.is_member() && (self.table_is_fresh(now) || self.has_majority(now))
     }
 
     /// Whether a majority vouches, whatever the table says.
-    pub fn vouched_for(&self, now: Instant) -> bool {
-        let vouching =
-            |member: &&MemberId| self.me == Some(**member) || self.answers(**member, now);
+    pub fn has_majority(&self, now: Instant) -> bool {
+        let vouching = |member: &&MemberId| {
+            self.me == Some(**member) || self.confirmed_recently(**member, now)
+        };
         let members = &self.membership.members;
         members.iter().filter(vouching).count() > members.len() / 2
     }
@@ -193,11 +194,11 @@
     /// A number below the one held here got that far before the next one was
     /// written; one above is not known here. Holding does not age, so this
     /// needs no time.
-    pub fn settled(&self, number: Number) -> bool {
+    pub fn is_stable(&self, number: Number) -> bool {
         if number != self.number() {
             return number < self.number();
         }
-        self.membership.halves(|member| self.member_holds(member, number))
+        self.membership.half_of_each(|member| self.member_holds(member, number))
     }
 
     /// The number held here.
@@ -216,41 +217,41 @@
     }
 
     /// Whether anything newer than the number held here is known to exist.
-    pub fn behind(&self) -> bool {
-        let ahead = |peer: &Peer| peer.seen.ahead() || peer.held > self.number();
-        self.table.ahead() || self.peers.values().any(ahead)
+    pub fn is_behind(&self) -> bool {
+        let ahead = |peer: &Peer| peer.proof.is_ahead() || peer.held > self.number();
+        self.table.is_ahead() || self.peers.values().any(ahead)
     }
 
     /// Whether `member` has vouched lately: whom to rather ask.
-    pub fn answers(&self, member: MemberId, now: Instant) -> bool {
-        let fresh = |peer: &Peer| peer.seen.fresh(now, self.settings.bound);
+    pub fn confirmed_recently(&self, member: MemberId, now: Instant) -> bool {
+        let fresh = |peer: &Peer| peer.proof.is_fresh(now, self.settings.bound);
         self.peers.get(&member).is_some_and(fresh)
     }
 
     /// This daemon's own vouch, as of now. None before it has joined.
-    pub fn own(&self) -> Option<Vouch> {
+    pub fn own_confirmation(&self) -> Option<Confirmation> {
         let number = self.number();
         let member = self.me.filter(|_| self.is_member())?;
-        Some(Vouch { member, number, held: number, age: Span::ZERO })
+        Some(Confirmation { member, number, held: number, age: Span::ZERO })
     }
 
     /// What this daemon can say about every member: its own vouch and the
     /// ones it knows of others, in the order of their ids.
-    pub fn vouches(&self, now: Instant) -> Vec<Vouch> {
+    pub fn confirmations(&self, now: Instant) -> Vec<Confirmation> {
         let number = self.number();
         let known = self.peers.iter().filter_map(|(&member, peer)| {
-            let at = peer.seen.at()?;
+            let at = peer.proof.at()?;
             let age = now.since(at);
             let held = peer.held;
-            (age <= self.settings.bound).then_some(Vouch { member, number, held, age })
+            (age <= self.settings.bound).then_some(Confirmation { member, number, held, age })
         });
-        let mut all: Vec<_> = known.chain(self.own()).collect();
+        let mut all: Vec<_> = known.chain(self.own_confirmation()).collect();
         all.sort_unstable_by_key(|vouch| vouch.member);
         all
     }
 
     /// Whether `member` is known to hold the number held here, or has ended.
-    pub fn has(&self, member: MemberId) -> bool {
+    pub fn holds_current(&self, member: MemberId) -> bool {
         self.member_holds(member, self.number())
     }
 
@@ -258,7 +259,7 @@
     /// old to be passed on. That they hold it stays true all the same.
     pub fn silent_holders(&self, now: Instant) -> impl Iterator<Item = MemberId> {
         let silent = move |(id, peer): &(&MemberId, &Peer)| {
-            !peer.ended && peer.held >= self.number() && !self.answers(**id, now)
+            !peer.ended && peer.held >= self.number() && !self.confirmed_recently(**id, now)
         };
         self.peers.iter().filter(silent).map(|(&member, _)| member)
     }
@@ -272,8 +273,8 @@
         self.me.is_some_and(|me| self.membership.members.contains(&me))
     }
 
-    fn fresh(&self, now: Instant) -> bool {
-        self.table.fresh(now, self.settings.bound)
+    fn table_is_fresh(&self, now: Instant) -> bool {
+        self.table.is_fresh(now, self.settings.bound)
     }
 
     fn member_holds(&self, member: MemberId, number: Number) -> bool {
--- a/kingcupbay_core/src/standing/seen.rs
+++ b/kingcupbay_core/src/standing/proof.rs
@@ -10,7 +10,7 @@
 /// Invariants: `at` belongs to a statement that named nothing newer than the
 /// number held here; `ahead` names something newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(super) struct Seen {
+pub(super) struct Proof {
     /// The statement was made at this time or later.
     at: Option<Instant>,
     /// A statement that counts once that number is held here too. Without it a
@@ -19,9 +19,9 @@
     ahead: Option<(Number, Instant)>,
 }
 
-impl Seen {
+impl Proof {
     /// A statement of `number`, made at `at` or later, while `mine` is held.
-    pub(super) fn add(&mut self, number: Number, at: Instant, mine: Number) {
+    pub(super) fn record(&mut self, number: Number, at: Instant, mine: Number) {
         if number <= mine {
             self.at = self.at.max(Some(at));
             return;
@@ -43,7 +43,7 @@
     }
 
     /// Whether the proof is no older than `bound`.
-    pub(super) fn fresh(&self, now: Instant, bound: Span) -> bool {
+    pub(super) fn is_fresh(&self, now: Instant, bound: Span) -> bool {
         self.at.is_some_and(|at| now.since(at) <= bound)
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Whether the source knows something newer.
-    pub(super) fn ahead(&self) -> bool {
+    pub(super) fn is_ahead(&self) -> bool {
         self.ahead.is_some()
     }
 }
--- a/kingcupbay_core/tests/claim.rs
+++ b/kingcupbay_core/tests/claim.rs
@@ -9,7 +9,7 @@
 use kingcupbay_core::{
     claim::{
         Action, Answer, Claim, Event,
-        record::{BODY_MAX, Digest, Outcome, Record, State, row_key},
+        record::{Digest, MAX_BODY_BYTES, Outcome, Record, State, row_key},
     },
     id::{Id as _, OrganisationId, RouteId},
     wire::{
@@ -110,7 +110,7 @@
 
 fn refused(action: &Action) -> Event {
     match action {
-        Action::Call => Event::NeverLeft,
+        Action::Call => Event::NotSent,
         _ => Event::StoreRefused,
     }
 }
@@ -129,7 +129,7 @@
     }
 
     fn on(&mut self, event: Event) {
-        self.actions.extend(self.claim.on(event));
+        self.actions.extend(self.claim.handle(event));
     }
 
     /// The next action for table or service; answers are taken on the way.
@@ -248,14 +248,14 @@
 #[test]
 fn a_store_that_is_down_refuses_the_call_truly_with_when_to_come_back() {
     let (mut claim, _) = Claim::start(attempt(0, 1));
-    let told = failure(&claim.on(Event::StoreRefused));
+    let told = failure(&claim.handle(Event::StoreRefused));
     assert_eq!(told, (Code::StoreDown, Ran::NotRun, true));
     // Down for good after a claim that may have arrived: still not run, since
     // it is never sent.
     let (mut claim, _) = Claim::start(attempt(0, 1));
-    let mut actions = claim.on(Event::StoreLost);
+    let mut actions = claim.handle(Event::StoreLost);
     while let [Action::Read(_)] = actions[..] {
-        actions = claim.on(Event::StoreRefused);
+        actions = claim.handle(Event::StoreRefused);
     }
     assert_eq!(failure(&actions), (Code::StoreDown, Ran::NotRun, true));
     assert!(claim.is_over());
@@ -269,7 +269,10 @@
     let mut other = attempt(1, fencing);
     other.digest = Digest::of(RouteId::from_raw(0), "book", b"seat 8");
     let (mut claim, _) = Claim::start(other);
-    assert_eq!(failure(&claim.on(conflict(&world.table))), (Code::KeyReused, Ran::NotRun, false));
+    assert_eq!(
+        failure(&claim.handle(conflict(&world.table))),
+        (Code::KeyReused, Ran::NotRun, false)
+    );
 }
 
 #[test]
@@ -294,7 +297,7 @@
     let fencing = world.table.fence();
     let mut first = Runner::start(0, fencing);
     first.reach(&mut world, Step::Call);
-    let long = Outcome { status: 201, body: Some(vec![b'x'; BODY_MAX + 1]) };
+    let long = Outcome { status: 201, body: Some(vec![b'x'; MAX_BODY_BYTES + 1]) };
     first.on(Event::ServiceAnswered(long.clone()));
     first.finish(&mut world);
     assert_eq!(first.told, Some(Answer::Outcome { outcome: long, replayed: false }));
@@ -319,7 +322,7 @@
     let mut first = Runner::start(0, fencing);
     first.reach(&mut world, Step::Call);
     first.on(Event::Sent);
-    first.on(Event::NeverLeft);
+    first.on(Event::NotSent);
     first.finish(&mut world);
     assert_eq!(words(&first.told.unwrap()), "outcome_unknown unknown");
     let record: Record = serde_json::from_str(&world.table.rows[KEY].value).unwrap();
--- a/kingcupbay_core/tests/gossip.rs
+++ b/kingcupbay_core/tests/gossip.rs
@@ -16,7 +16,7 @@
         record::Topic,
     },
     id::{Id, MemberId, Number, RequestId},
-    standing::{self, Standing, Vouch},
+    standing::{self, Confirmation, Standing},
     time::{Instant, Span},
 };
 use quickcheck::{Arbitrary, Gen};
@@ -61,7 +61,7 @@
     /// Applies a patch as read from the table.
     fn apply(&mut self, patch: &Patch) {
         let next = self.config.patched(patch).unwrap();
-        self.gossip.patched(patch.clone(), &next);
+        self.gossip.add_patch(patch.clone(), &next);
         self.config = next;
     }
 
@@ -80,10 +80,10 @@
                 daemon.apply(&patch(Number(host as u64), vec![join(host, host as u64 + 1)]));
             }
             let (head, config) = (daemon.number(), daemon.config.clone());
-            for action in daemon.gossip.head_read(now, now, head, &config) {
+            for action in daemon.gossip.handle_head_read(now, now, head, &config) {
                 // Nobody else has started yet.
                 if let Action::SendPull { id, .. } = action {
-                    daemon.gossip.failed(id);
+                    daemon.gossip.forget_pull(id);
                 }
             }
         }
@@ -104,11 +104,11 @@
     fn deliver(&mut self, at: usize, id: PullId, to: MemberId, pull: &Pull) {
         let peer = to.raw() as usize;
         if self.cut.contains(&at) || self.cut.contains(&peer) || peer >= self.daemons.len() {
-            return self.daemons[at].gossip.failed(id);
+            return self.daemons[at].gossip.forget_pull(id);
         }
-        let (answer, back) = self.daemons[peer].gossip.pulled(self.now, pull);
+        let (answer, back) = self.daemons[peer].gossip.answer_pull(self.now, pull);
         let config = self.daemons[at].config.clone();
-        let actions = self.daemons[at].gossip.answered(self.now, id, answer, &config);
+        let actions = self.daemons[at].gossip.handle_answer(self.now, id, answer, &config);
         self.carry_out(at, actions);
         self.carry_out(peer, back);
     }
@@ -124,7 +124,7 @@
     }
 
     fn standing(&self) -> usize {
-        let holds = |daemon: &&Daemon| daemon.gossip.standing().holds(self.now);
+        let holds = |daemon: &&Daemon| daemon.gossip.standing().may_act(self.now);
         self.daemons.iter().filter(holds).count()
     }
 }
@@ -153,13 +153,13 @@
     let patch = patch(fleet.daemons[0].number(), vec![]);
     fleet.daemons[0].apply(&patch);
     let number = fleet.daemons[0].number();
-    assert!(!fleet.daemons[0].gossip.standing().settled(number));
+    assert!(!fleet.daemons[0].gossip.standing().is_stable(number));
     for _ in 0..2 {
         let now = fleet.now;
-        let actions = fleet.daemons[0].gossip.settle(now);
+        let actions = fleet.daemons[0].gossip.pull_missing(now);
         fleet.carry_out(0, actions);
     }
-    assert!(fleet.daemons[0].gossip.standing().settled(number));
+    assert!(fleet.daemons[0].gossip.standing().is_stable(number));
     fleet.run(1_000);
     let known = fleet.daemons.iter().filter(|daemon| daemon.number() == number).count();
     assert_eq!(known, 24);
@@ -174,7 +174,7 @@
     fleet.daemons[1] = daemon(77);
     let (answer, _) = {
         let pull = Pull { member: None, number: Number(3), brief: false, seen: None };
-        fleet.daemons[1].gossip.pulled(fleet.now, &pull)
+        fleet.daemons[1].gossip.answer_pull(fleet.now, &pull)
     };
     assert!(answer.holding.is_empty() && answer.behind.is_empty());
     fleet.run(4_000);
@@ -187,15 +187,15 @@
 #[test]
 fn a_doubled_or_late_answer_changes_nothing() {
     let mut fleet = Fleet::new(3);
-    let pulls: Vec<_> = fleet.daemons[0].gossip.settle(fleet.now);
+    let pulls: Vec<_> = fleet.daemons[0].gossip.pull_missing(fleet.now);
     let Action::SendPull { id, pull, .. } = pulls[0].clone() else { panic!() };
-    let (answer, _) = fleet.daemons[1].gossip.pulled(fleet.now, &pull);
+    let (answer, _) = fleet.daemons[1].gossip.answer_pull(fleet.now, &pull);
     let config = fleet.daemons[0].config.clone();
     let gossip = &mut fleet.daemons[0].gossip;
-    gossip.answered(fleet.now, id, answer.clone(), &config);
+    gossip.handle_answer(fleet.now, id, answer.clone(), &config);
     let before = gossip.standing().clone();
     let later = fleet.now + Span::from_secs(2);
-    assert_eq!(gossip.answered(later, id, answer, &config), []);
+    assert_eq!(gossip.handle_answer(later, id, answer, &config), []);
     assert_eq!(*gossip.standing(), before);
 }
 
@@ -211,11 +211,11 @@
     fleet.run(500);
     assert!(!fleet.daemons[2].fetches.is_empty());
     let Snapshot { config, before } = fleet.daemons[0].gossip.snapshot(&fleet.daemons[0].config);
-    let actions = fleet.daemons[2].gossip.restored(Snapshot { config, before });
+    let actions = fleet.daemons[2].gossip.restore(Snapshot { config, before });
     fleet.carry_out(2, actions);
     assert_eq!(fleet.daemons[2].number(), fleet.daemons[0].number());
     fleet.run(1_000);
-    assert!(fleet.daemons[2].gossip.standing().vouched_for(fleet.now));
+    assert!(fleet.daemons[2].gossip.standing().has_majority(fleet.now));
 }
 
 #[test]
@@ -224,7 +224,7 @@
     fleet.daemons[3].gossip.records_mut().publish(Topic::Load, "busy".into());
     fleet.run(10_000);
     for daemon in &fleet.daemons {
-        let load = daemon.gossip.records().of(Topic::Load);
+        let load = daemon.gossip.records().by_topic(Topic::Load);
         assert_eq!(load[&MemberId::from_raw(3)].body, "busy");
     }
     fleet.daemons[3].gossip.records_mut().publish(Topic::Load, "busy".into());
@@ -239,7 +239,7 @@
     let asked: Vec<_> = asked.collect();
     assert!(!asked.is_empty());
     for pull in asked {
-        assert_eq!(fleet.daemons[3].gossip.pulled(fleet.now, &pull).0.records, []);
+        assert_eq!(fleet.daemons[3].gossip.answer_pull(fleet.now, &pull).0.records, []);
     }
 }
 
@@ -252,7 +252,7 @@
         let ids = BTreeSet::<u16>::arbitrary(&mut random);
         let vouches: Vec<_> = ids
             .into_iter()
-            .map(|raw| Vouch {
+            .map(|raw| Confirmation {
                 member: MemberId::from_raw(raw.into()),
                 number: Number(9),
                 held: Number(u64::from(u8::arbitrary(&mut random) % 3) + 7),
@@ -282,11 +282,11 @@
     ];
     for holding in nonsense {
         let mut fleet = Fleet::new(3);
-        let pulls = fleet.daemons[0].gossip.settle(fleet.now);
+        let pulls = fleet.daemons[0].gossip.pull_missing(fleet.now);
         let Action::SendPull { id, .. } = pulls[0] else { panic!() };
         let answer = Answer { incarnation: 2, number: Number(3), holding, ..Answer::default() };
         let config = fleet.daemons[0].config.clone();
-        fleet.daemons[0].gossip.answered(fleet.now, id, answer, &config);
-        assert!(!fleet.daemons[0].gossip.standing().vouched_for(fleet.now));
+        fleet.daemons[0].gossip.handle_answer(fleet.now, id, answer, &config);
+        assert!(!fleet.daemons[0].gossip.standing().has_majority(fleet.now));
     }
 }
--- a/kingcupbay_core/tests/spec_claim.rs
+++ b/kingcupbay_core/tests/spec_claim.rs
@@ -134,7 +134,7 @@
     }
 
     fn on(&mut self, index: usize, event: Event, mutation: Mutation) {
-        let actions = self.actors[index].claim.on(event);
+        let actions = self.actors[index].claim.handle(event);
         self.carry_out(index, actions, mutation);
     }
 
@@ -319,7 +319,7 @@
                 next.push(world.then(format!("{who}: call never left"), |w| {
                     w.fault();
                     take(w);
-                    w.on(index, Event::NeverLeft, mutation);
+                    w.on(index, Event::NotSent, mutation);
                 }));
             }
         }
--- a/kingcupbay_core/tests/spec_standing/model.rs
+++ b/kingcupbay_core/tests/spec_standing/model.rs
@@ -229,7 +229,7 @@
 fn acceptance_step(daemon: &Daemon, host: usize, flaw: Flaw) -> Option<Step> {
     let early = flaw == Flaw::EarlyAck;
     let acceptance = daemon.acceptance.as_ref()?;
-    match acceptance.step(&daemon.standing) {
+    match acceptance.next_step(&daemon.standing) {
         Next::Write => Some(Step::SendWrite(host)),
         Next::Resolve(_) => Some(Step::Resolve(host)),
         Next::Acknowledge(_) => Some(Step::Acknowledge(host)),
@@ -268,18 +268,18 @@
             Step::SendWrite(host) => self.update(host, |daemon| {
                 let against = daemon.standing.number();
                 daemon.write = Some(Write { against, committed: None });
-                daemon.acceptance.as_mut().expect(POSSIBLE).writing();
+                daemon.acceptance.as_mut().expect(POSSIBLE).begin_write();
             }),
             Step::AnswerWrite(host) => self.answer_write(host),
             Step::TakeWrite(host) => self.take_write(host),
             Step::GiveUpWrite(host) => self.update(host, |daemon| {
-                daemon.acceptance.iter_mut().for_each(|acceptance| acceptance.written(None));
+                daemon.acceptance.iter_mut().for_each(|acceptance| acceptance.finish_write(None));
             }),
             Step::Resolve(host) => {
                 let number = self.daemon(host).acceptance.expect(POSSIBLE).number();
                 let found = self.delta(number).map(|delta| delta.id);
                 self.update(host, |daemon| {
-                    daemon.acceptance.as_mut().expect(POSSIBLE).resolved(found);
+                    daemon.acceptance.as_mut().expect(POSSIBLE).resolve(found);
                 });
             }
             Step::Acknowledge(host) => self.acknowledge(host),
@@ -298,7 +298,7 @@
         let mut daemon = Daemon::new(1);
         if flaw == Flaw::RestartEmpty {
             daemon.standing.advance(State::start().membership(Number(1)));
-            daemon.standing.joined(MemberId::from_raw(host as u32));
+            daemon.standing.record_join(MemberId::from_raw(host as u32));
             daemon.top = Number(1);
         }
         self.daemons[host] = Shared::new(daemon);
@@ -309,7 +309,7 @@
         let sender = self.daemon(host);
         let number = sender.standing.number();
         if let Some(me) = sender.standing.me() {
-            self.update(to, |peer| peer.standing.holding(me, number));
+            self.update(to, |peer| peer.standing.record_held(me, number));
         }
         let peer = self.daemon(to);
         let pull = Pull {
@@ -317,7 +317,7 @@
             member: self.joined_id(to, number).unwrap_or(MemberId::from_raw(to as u32)),
             incarnation: peer.incarnation,
             number: peer.standing.number(),
-            vouches: peer.standing.vouches(tick(self.now)),
+            vouches: peer.standing.confirmations(tick(self.now)),
         };
         self.update(host, |daemon| daemon.pull = Some(pull));
     }
@@ -329,10 +329,10 @@
         self.update(host, |daemon| {
             daemon.advance(membership, pull.number, flaw == Flaw::TakeOlder);
             if pull.incarnation != expected && flaw != Flaw::RestartEmpty {
-                daemon.standing.ended(pull.member);
+                daemon.standing.record_end(pull.member);
             }
             for vouch in pull.vouches {
-                daemon.standing.vouched(vouch, tick(pull.sent));
+                daemon.standing.record_confirmation(vouch, tick(pull.sent));
             }
         });
     }
@@ -345,12 +345,12 @@
         let me = self.joined_id(host, head);
         self.update(host, |daemon| {
             daemon.advance(membership, head, flaw == Flaw::TakeOlder);
-            daemon.standing.head_read(head, tick(sent));
+            daemon.standing.record_head_read(head, tick(sent));
             if daemon.incarnation == 0 || flaw == Flaw::RestartEmpty {
                 return;
             }
             match me {
-                Some(me) => daemon.standing.joined(me),
+                Some(me) => daemon.standing.record_join(me),
                 // It has read the table and now asks to join.
                 None if daemon.acceptance.is_none() => daemon.begin(host, head),
                 None => {}
@@ -375,10 +375,10 @@
             daemon.write = None;
             let Some(acceptance) = &mut daemon.acceptance else { return };
             if write.committed == Some(true) {
-                acceptance.written(Some(&TxnAnswer::Committed));
+                acceptance.finish_write(Some(&TxnAnswer::Committed));
                 daemon.advance(membership, write.against.next(), false);
             } else {
-                acceptance.written(Some(&TxnAnswer::Conflict(vec![])));
+                acceptance.finish_write(Some(&TxnAnswer::Conflict(vec![])));
             }
         });
     }
@@ -427,7 +427,7 @@
 
     fn stale(&self, acked: Number) -> Option<Violation> {
         let stale = |daemon: Rc<Daemon>| {
-            daemon.standing.number() < acked && daemon.standing.holds(tick(self.now))
+            daemon.standing.number() < acked && daemon.standing.may_act(tick(self.now))
         };
         let host = self.daemons.iter().map(|daemon| daemon.get()).position(stale)?;
         let holds = self.daemon(host).standing.number();
--- a/kingcupbay_core/tests/spec_standing/state.rs
+++ b/kingcupbay_core/tests/spec_standing/state.rs
@@ -5,7 +5,7 @@
 use kingcupbay_core::{
     config::patch::Patch,
     id::{Id, MemberId, Number, RequestId},
-    standing::{Membership, Settings, Standing, Vouch, accept::Acceptance},
+    standing::{Confirmation, Membership, Settings, Standing, accept::Acceptance},
     time::{Instant, Span},
 };
 
@@ -37,7 +37,7 @@
     pub(crate) member: MemberId,
     pub(crate) incarnation: u64,
     pub(crate) number: Number,
-    pub(crate) vouches: Vec<Vouch>,
+    pub(crate) vouches: Vec<Confirmation>,
 }
 
 /// An answer to a read of the head with all deltas; see [`Pull`].
@@ -87,7 +87,7 @@
         if back && number < self.standing.number() {
             let me = self.standing.me();
             self.standing = Daemon::new(0).standing;
-            me.into_iter().for_each(|me| self.standing.joined(me));
+            me.into_iter().for_each(|me| self.standing.record_join(me));
         }
         if number.0 > 0 {
             self.standing.advance(membership);
@@ -158,11 +158,11 @@
             let mut daemon = Daemon::new(0);
             let standing = &mut daemon.standing;
             standing.advance(first());
-            standing.joined(MemberId::from_raw(host as u32));
+            standing.record_join(MemberId::from_raw(host as u32));
             for member in first().members {
-                standing.holding(member, Number(FIRST));
+                standing.record_held(member, Number(FIRST));
             }
-            standing.head_read(Number(FIRST), tick(0));
+            standing.record_head_read(Number(FIRST), tick(0));
             daemon.top = Number(FIRST);
             if host == 0 {
                 daemon.begin(host, Number(FIRST));
--- a/kingcupbay_core/tests/standing.rs
+++ b/kingcupbay_core/tests/standing.rs
@@ -12,8 +12,8 @@
     },
     id::{Id, MemberId, Number, RequestId},
     standing::{
-        Membership, Settings, Standing, Vouch,
-        accept::{Acceptance, Step, check, txn},
+        Confirmation, Membership, Settings, Standing,
+        accept::{Acceptance, Step, check_patch, patch_txn},
     },
     time::{Instant, Span},
     wire::table::TxnAnswer,
@@ -40,13 +40,13 @@
 fn one_of_five(number: u64) -> Standing {
     let mut standing = Standing::new(Settings::default());
     standing.advance(membership(number, &[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]));
-    standing.joined(id(0));
+    standing.record_join(id(0));
     standing
 }
 
-fn vouch(member: u32, number: u64, age: u64) -> Vouch {
+fn vouch(member: u32, number: u64, age: u64) -> Confirmation {
     let number = Number(number);
-    Vouch { member: id(member), number, held: number, age: Span::from_millis(age) }
+    Confirmation { member: id(member), number, held: number, age: Span::from_millis(age) }
 }
 
 fn patch(against: u64, changes: Vec<Change>) -> Patch {
@@ -70,23 +70,23 @@
 #[test]
 fn a_read_counts_from_its_sending() {
     let mut standing = one_of_five(7);
-    assert!(!standing.holds(at(10_000)));
-    standing.head_read(Number(7), at(10_000));
-    assert!(standing.holds(at(13_000)));
-    assert!(!standing.holds(at(13_001)));
-    standing.head_read(Number(7), at(9_000));
-    assert!(!standing.holds(at(13_001)));
+    assert!(!standing.may_act(at(10_000)));
+    standing.record_head_read(Number(7), at(10_000));
+    assert!(standing.may_act(at(13_000)));
+    assert!(!standing.may_act(at(13_001)));
+    standing.record_head_read(Number(7), at(9_000));
+    assert!(!standing.may_act(at(13_001)));
 }
 
 #[test]
 fn a_read_that_shows_a_newer_number_counts_once_that_is_held() {
     let mut standing = one_of_five(7);
-    standing.head_read(Number(8), at(10_000));
-    assert!(!standing.holds(at(10_100)));
-    assert!(standing.behind());
+    standing.record_head_read(Number(8), at(10_000));
+    assert!(!standing.may_act(at(10_100)));
+    assert!(standing.is_behind());
     standing.advance(membership(8, &[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]));
-    assert!(standing.holds(at(10_100)));
-    assert!(!standing.behind());
+    assert!(standing.may_act(at(10_100)));
+    assert!(!standing.is_behind());
 }
 
 /// The table is gone for ten minutes for everyone. Three of five still vouch
@@ -97,23 +97,23 @@
     let mut island = one_of_five(7);
     for second in 10..610 {
         let sent = at(second * 1_000);
-        standing.vouched(vouch(1, 7, 100), sent);
-        standing.vouched(vouch(2, 6, 900), sent);
-        island.vouched(vouch(3, 7, 0), sent);
-        assert!(standing.holds(sent + Span::from_millis(2_100)));
-        assert!(!standing.holds(sent + Span::from_millis(2_101)));
-        assert!(!island.holds(sent));
+        standing.record_confirmation(vouch(1, 7, 100), sent);
+        standing.record_confirmation(vouch(2, 6, 900), sent);
+        island.record_confirmation(vouch(3, 7, 0), sent);
+        assert!(standing.may_act(sent + Span::from_millis(2_100)));
+        assert!(!standing.may_act(sent + Span::from_millis(2_101)));
+        assert!(!island.may_act(sent));
     }
 }
 
 #[test]
 fn a_vouch_for_a_newer_number_does_not_count_for_the_older() {
     let mut standing = one_of_five(7);
-    standing.vouched(vouch(1, 7, 0), at(10_000));
-    standing.vouched(vouch(2, 8, 0), at(10_000));
-    assert!(!standing.holds(at(10_000)));
+    standing.record_confirmation(vouch(1, 7, 0), at(10_000));
+    standing.record_confirmation(vouch(2, 8, 0), at(10_000));
+    assert!(!standing.may_act(at(10_000)));
     standing.advance(membership(8, &[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]));
-    assert!(standing.holds(at(10_000)));
+    assert!(standing.may_act(at(10_000)));
 }
 
 #[test]
@@ -130,13 +130,13 @@
 fn only_members_vouch() {
     let mut standing = Standing::new(Settings::default());
     standing.advance(membership(7, &[0, 1, 2], &[1, 2]));
-    standing.vouched(vouch(9, 7, 0), at(10_000));
-    standing.vouched(vouch(1, 7, 0), at(10_000));
-    assert_eq!(standing.own(), None);
-    assert!(!standing.holds(at(10_000)));
-    standing.joined(id(0));
-    assert!(standing.holds(at(10_000)));
-    assert_eq!(standing.vouches(at(10_500)).len(), 2);
+    standing.record_confirmation(vouch(9, 7, 0), at(10_000));
+    standing.record_confirmation(vouch(1, 7, 0), at(10_000));
+    assert_eq!(standing.own_confirmation(), None);
+    assert!(!standing.may_act(at(10_000)));
+    standing.record_join(id(0));
+    assert!(standing.may_act(at(10_000)));
+    assert_eq!(standing.confirmations(at(10_500)).len(), 2);
 }
 
 /// All three hosts of a small site restart at once. Each new incarnation is
@@ -146,24 +146,24 @@
 fn a_member_that_ended_holds_up_nothing() {
     let mut standing = Standing::new(Settings::default());
     standing.advance(membership(4, &[3, 1, 2], &[0, 1, 2]));
-    standing.joined(id(3));
-    standing.ended(id(0));
-    assert!(!standing.settled(Number(4)));
-    standing.ended(id(1));
-    assert!(standing.settled(Number(4)));
-    assert!(!standing.holds(at(10_000)), "an ended member vouches for nothing");
+    standing.record_join(id(3));
+    standing.record_end(id(0));
+    assert!(!standing.is_stable(Number(4)));
+    standing.record_end(id(1));
+    assert!(standing.is_stable(Number(4)));
+    assert!(!standing.may_act(at(10_000)), "an ended member vouches for nothing");
 }
 
 #[test]
 fn a_patch_needs_the_majority_of_both_memberships() {
     let mut standing = Standing::new(Settings::default());
     standing.advance(membership(4, &[0, 1, 3], &[0, 1, 2]));
-    standing.joined(id(0));
-    standing.holding(id(3), Number(4));
-    assert!(!standing.settled(Number(4)));
-    standing.holding(id(2), Number(4));
-    assert!(standing.settled(Number(4)));
-    assert!(standing.settled(Number(3)) && !standing.settled(Number(5)));
+    standing.record_join(id(0));
+    standing.record_held(id(3), Number(4));
+    assert!(!standing.is_stable(Number(4)));
+    standing.record_held(id(2), Number(4));
+    assert!(standing.is_stable(Number(4)));
+    assert!(standing.is_stable(Number(3)) && !standing.is_stable(Number(5)));
 }
 
 /// One host of two is gone for good. The one that is left must be able to
@@ -172,9 +172,9 @@
 fn of_two_members_the_one_that_is_left_goes_on() {
     let mut standing = Standing::new(Settings::default());
     standing.advance(membership(4, &[0, 1], &[0, 1]));
-    standing.joined(id(0));
-    assert!(standing.settled(Number(4)));
-    assert!(!standing.holds(at(10_000)), "without the table, half is not enough");
+    standing.record_join(id(0));
+    assert!(standing.is_stable(Number(4)));
+    assert!(!standing.may_act(at(10_000)), "without the table, half is not enough");
 }
 
 /// A host is paused; its successor joins. When it wakes up, the read it had
@@ -182,20 +182,20 @@
 #[test]
 fn a_replaced_member_has_no_standing() {
     let mut standing = one_of_five(7);
-    standing.head_read(Number(8), at(10_000));
+    standing.record_head_read(Number(8), at(10_000));
     standing.advance(membership(8, &[5, 1, 2, 3, 4], &[0, 1, 2, 3, 4]));
-    assert!(!standing.holds(at(10_000)));
-    assert_eq!(standing.own(), None);
+    assert!(!standing.may_act(at(10_000)));
+    assert_eq!(standing.own_confirmation(), None);
 }
 
 #[test]
 fn membership_moves_one_member_a_patch_and_nothing_else() {
     let config = Config::default();
-    assert!(check(&config, &patch(0, vec![join("a", 1)])).is_ok());
+    assert!(check_patch(&config, &patch(0, vec![join("a", 1)])).is_ok());
     let two = patch(0, vec![join("a", 1), join("b", 1)]);
-    assert_eq!(check(&config, &two), Err(PatchError::Membership));
+    assert_eq!(check_patch(&config, &two), Err(PatchError::Membership));
     let stale = PatchError::Stale { against: Number(3), current: Number(0) };
-    assert_eq!(check(&config, &patch(3, vec![])), Err(stale));
+    assert_eq!(check_patch(&config, &patch(3, vec![])), Err(stale));
 }
 
 /// An operator withdraws a key; the table takes the write and its answer is
@@ -204,43 +204,43 @@
 #[test]
 fn a_lost_answer_is_resolved_by_reading_and_a_repeat_is_harmless() {
     let mut standing = one_of_five(7);
-    (1..3).for_each(|member| standing.holding(id(member), Number(7)));
+    (1..3).for_each(|member| standing.record_held(id(member), Number(7)));
     let patch = patch(7, vec![]);
     let mut first = Acceptance::new(&patch);
-    assert_eq!(first.step(&standing), Step::Write);
-    first.writing();
-    assert_eq!(first.step(&standing), Step::Wait);
-    first.written(None);
-    assert_eq!(first.step(&standing), Step::Resolve(Number(8)));
-    first.resolved(Some(patch.id));
-    assert_eq!(first.step(&standing), Step::CatchUp);
+    assert_eq!(first.next_step(&standing), Step::Write);
+    first.begin_write();
+    assert_eq!(first.next_step(&standing), Step::Wait);
+    first.finish_write(None);
+    assert_eq!(first.next_step(&standing), Step::Resolve(Number(8)));
+    first.resolve(Some(patch.id));
+    assert_eq!(first.next_step(&standing), Step::CatchUp);
     standing.advance(membership(8, &[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]));
-    assert_eq!(first.step(&standing), Step::Wait);
-    (3..5).for_each(|member| standing.holding(id(member), Number(8)));
-    assert_eq!(first.step(&standing), Step::Acknowledge(Number(8)));
+    assert_eq!(first.next_step(&standing), Step::Wait);
+    (3..5).for_each(|member| standing.record_held(id(member), Number(8)));
+    assert_eq!(first.next_step(&standing), Step::Acknowledge(Number(8)));
 
     let mut again = Acceptance::new(&patch);
-    assert_eq!(again.step(&standing), Step::Resolve(Number(8)));
-    again.resolved(Some(patch.id));
-    assert_eq!(again.step(&standing), Step::Acknowledge(Number(8)));
+    assert_eq!(again.next_step(&standing), Step::Resolve(Number(8)));
+    again.resolve(Some(patch.id));
+    assert_eq!(again.next_step(&standing), Step::Acknowledge(Number(8)));
 }
 
 #[test]
 fn of_two_operators_the_second_is_told_that_it_is_stale() {
     let mut standing = one_of_five(7);
     let mut second = Acceptance::new(&patch(7, vec![]));
-    assert_eq!(second.step(&standing), Step::Wait, "7 itself is not held by a majority yet");
-    (1..3).for_each(|member| standing.holding(id(member), Number(7)));
-    second.writing();
-    second.written(Some(&TxnAnswer::Conflict(vec![])));
-    second.resolved(Some(RequestId([9; 16])));
-    assert_eq!(second.step(&standing), Step::Stale);
+    assert_eq!(second.next_step(&standing), Step::Wait, "7 itself is not held by a majority yet");
+    (1..3).for_each(|member| standing.record_held(id(member), Number(7)));
+    second.begin_write();
+    second.finish_write(Some(&TxnAnswer::Conflict(vec![])));
+    second.resolve(Some(RequestId([9; 16])));
+    assert_eq!(second.next_step(&standing), Step::Stale);
 }
 
 #[test]
 fn a_write_takes_head_and_delta_or_neither() {
     let head = Head { number: Number(7), snapshot: Number(5) };
-    let write = txn(head, 3, &patch(7, vec![]));
+    let write = patch_txn(head, 3, &patch(7, vec![]));
     assert_eq!(write.conditions[0].revision, 3);
     assert_eq!(
         (write.conditions[1].key.clone(), 0),
--- a/kingcupbayd/src/fleet/accept.rs
+++ b/kingcupbayd/src/fleet/accept.rs
@@ -5,7 +5,7 @@
 use kingcupbay_core::{
     config::patch::{Patch, PatchError},
     id::Number,
-    standing::accept::{Acceptance, Fate, Step, check, txn},
+    standing::accept::{Acceptance, Step, WriteOutcome, check_patch, patch_txn},
     time::Span,
     wire::table::TxnAnswer,
 };
@@ -53,7 +53,7 @@
             return PatchOutcome::Refused(refusal);
         }
         while clock::now().since(since) <= ACCEPT_TIME {
-            let step = acceptance.step(self.gossip.borrow().standing());
+            let step = acceptance.next_step(self.gossip.borrow().standing());
             let done = match step {
                 Step::Acknowledge(number) => {
                     self.keep_snapshot(number).await;
@@ -64,29 +64,29 @@
                 Step::CatchUp => self.refresh().await,
                 Step::Write => self.write(patch, &mut acceptance).await,
                 Step::Resolve(number) => {
-                    self.writer_of(number).await.map(|found| acceptance.resolved(found))
+                    self.writer_of(number).await.map(|found| acceptance.resolve(found))
                 }
             };
             if let Err(error) = done {
                 why = error.to_string();
                 // Nothing is in doubt yet, so there is nothing to stay for.
-                if acceptance.fate() == Fate::NotWritten {
+                if acceptance.outcome() == WriteOutcome::NotWritten {
                     return PatchOutcome::NotTaken(why);
                 }
                 tokio::time::sleep(PAUSE).await;
             }
         }
-        match acceptance.fate() {
-            Fate::Taken(number) => PatchOutcome::Taken { number, acknowledged: false },
-            Fate::NotWritten => PatchOutcome::NotTaken(why),
-            Fate::Unknown => PatchOutcome::Unknown(why),
+        match acceptance.outcome() {
+            WriteOutcome::Taken(number) => PatchOutcome::Taken { number, acknowledged: false },
+            WriteOutcome::NotWritten => PatchOutcome::NotTaken(why),
+            WriteOutcome::Unknown => PatchOutcome::Unknown(why),
         }
     }
 
     /// Why `patch` cannot be taken whatever comes. A stale one is not refused
     /// here: it may be a repeat.
     fn refusal(&self, patch: &Patch) -> Option<PatchError> {
-        match check(&self.config(), patch) {
+        match check_patch(&self.config(), patch) {
             Err(PatchError::Stale { against, current }) if against < current => None,
             checked => checked.err(),
         }
@@ -100,7 +100,7 @@
     }
 
     async fn settle(self: &Rc<Fleet>) -> Result<(), TableError> {
-        let actions = self.gossip.borrow_mut().settle(clock::now());
+        let actions = self.gossip.borrow_mut().pull_missing(clock::now());
         self.act(actions);
         tokio::time::sleep(PAUSE).await;
         Ok(())
@@ -108,25 +108,25 @@
 
     async fn write(&self, patch: &Patch, acceptance: &mut Acceptance) -> Result<(), TableError> {
         let (head, revision) = self.head().await?;
-        acceptance.writing();
+        acceptance.begin_write();
         if head.number != patch.against {
-            acceptance.written(Some(&TxnAnswer::Conflict(Vec::new())));
+            acceptance.finish_write(Some(&TxnAnswer::Conflict(Vec::new())));
             return Ok(());
         }
-        match self.table.txn(&txn(head, revision, patch)).await {
+        match self.table.txn(&patch_txn(head, revision, patch)).await {
             Ok(answer) => {
-                acceptance.written(Some(&answer));
+                acceptance.finish_write(Some(&answer));
                 if answer == TxnAnswer::Committed {
                     self.apply(patch.clone());
                 }
                 Ok(())
             }
             Err(error @ TableError::Unreached(_)) => {
-                acceptance.unsent();
+                acceptance.cancel_write();
                 Err(error)
             }
             Err(error) => {
-                acceptance.written(None);
+                acceptance.finish_write(None);
                 Err(error)
             }
         }
--- a/kingcupbayd/src/fleet/mod.rs
+++ b/kingcupbayd/src/fleet/mod.rs
@@ -18,7 +18,7 @@
     config::model::Config,
     gossip::{self, Action, Gossip, record::Topic},
     id::{MemberId, Name, Number},
-    standing::{self, BOUND, Standing},
+    standing::{self, FRESHNESS_BOUND, Standing},
     time::{Instant, Span},
 };
 use slog::{Logger, info};
@@ -36,7 +36,7 @@
 pub(crate) use table::{decode, encode};
 
 /// Age of the newest proof after which this daemon starts nothing new.
-pub(crate) const FRESHNESS: Span = BOUND;
+pub(crate) const FRESHNESS: Span = FRESHNESS_BOUND;
 
 /// Pause between two looks at what is due; a fifth of the pull period.
 const LOOK: Span = Span::from_millis(50);
@@ -88,7 +88,7 @@
     pub(crate) fn in_force(&self) -> Number {
         let gossip = self.gossip.borrow();
         let number = gossip.standing().number();
-        match gossip.standing().settled(number) {
+        match gossip.standing().is_stable(number) {
             true => number,
             false => Number(number.0.saturating_sub(1)),
         }
@@ -102,19 +102,19 @@
     /// The records of a topic, each with its member and version.
     pub(crate) fn records(&self, topic: Topic) -> Vec<(MemberId, u32, Bytes)> {
         let gossip = self.gossip.borrow();
-        let records = gossip.records().of(topic).iter();
+        let records = gossip.records().by_topic(topic).iter();
         records.map(|(&id, record)| (id, record.sequence, record.body.clone())).collect()
     }
 
     /// Whether this daemon may act on what it knows. Asked at each use, since
     /// the process may have been suspended since the last answer.
     pub(crate) fn holds(&self, now: Instant) -> bool {
-        self.gossip.borrow().standing().holds(now)
+        self.gossip.borrow().standing().may_act(now)
     }
 
     /// Whether a read of the table has shown this daemon's own join.
     pub(crate) fn is_member(&self) -> bool {
-        self.gossip.borrow().standing().own().is_some()
+        self.gossip.borrow().standing().own_confirmation().is_some()
     }
 
     /// Whether this daemon's own join is in force, and its predecessor's
--- a/kingcupbayd/src/fleet/peer.rs
+++ b/kingcupbayd/src/fleet/peer.rs
@@ -55,12 +55,12 @@
         Ok(answer) => {
             let config = fleet.config();
             let mut gossip = fleet.gossip.borrow_mut();
-            let actions = gossip.answered(clock::now(), id, answer, &config);
+            let actions = gossip.handle_answer(clock::now(), id, answer, &config);
             drop(gossip);
             fleet.act(actions);
         }
         Err(error) => {
-            fleet.gossip.borrow_mut().failed(id);
+            fleet.gossip.borrow_mut().forget_pull(id);
             debug!(fleet.log, ""; "event" => "pull_failed", "member" => %to, "error" => %error);
         }
     }
@@ -70,7 +70,7 @@
 pub(super) async fn fetch_snapshot(fleet: Rc<Fleet>, from: MemberId) {
     match ask::<Snapshot>(&fleet, from, SNAPSHOT_PATH, Vec::new(), SNAPSHOT_TIME).await {
         Ok(snapshot) => {
-            let actions = fleet.gossip.borrow_mut().restored(snapshot);
+            let actions = fleet.gossip.borrow_mut().restore(snapshot);
             fleet.act(actions);
         }
         Err(error) => {
@@ -126,7 +126,7 @@
             return reply::failure(&Failure::not_run(Code::BadRequest, message));
         }
     };
-    let (answer, actions) = fleet.gossip.borrow_mut().pulled(clock::now(), &pull);
+    let (answer, actions) = fleet.gossip.borrow_mut().answer_pull(clock::now(), &pull);
     fleet.act(actions);
     packed(rmp_serde::to_vec(&answer).expect("an answer serialises"))
 }
--- a/kingcupbayd/src/fleet/table.rs
+++ b/kingcupbayd/src/fleet/table.rs
@@ -33,7 +33,7 @@
         }
         let config = self.config();
         let mut gossip = self.gossip.borrow_mut();
-        let actions = gossip.head_read(clock::now(), sent, head.number, &config);
+        let actions = gossip.handle_head_read(clock::now(), sent, head.number, &config);
         drop(gossip);
         self.act(actions);
         Ok(())
@@ -70,7 +70,7 @@
         match loaded {
             Ok(Some(bytes)) => match rmp_serde::from_slice::<Snapshot>(&bytes) {
                 Ok(snapshot) => {
-                    let actions = self.gossip.borrow_mut().restored(snapshot);
+                    let actions = self.gossip.borrow_mut().restore(snapshot);
                     self.act(actions);
                 }
                 Err(error) => {
@@ -108,7 +108,7 @@
         }
         let next = config.patched(&patch);
         let next = next.expect("the writer checked the patch against the same rows");
-        self.gossip.borrow_mut().patched(patch, &next);
+        self.gossip.borrow_mut().add_patch(patch, &next);
         self.adopt(next);
     }
 
--- a/kingcupbayd/src/upstream/once.rs
+++ b/kingcupbayd/src/upstream/once.rs
@@ -131,7 +131,7 @@
                 events = &mut work => break events,
                 () = &mut deadline, if !late => {
                     late = true;
-                    for action in claim.on(Event::Deadline) {
+                    for action in claim.handle(Event::Deadline) {
                         let Action::Answer(answer) = action else {
                             unreachable!("a deadline only brings an answer")
                         };
@@ -141,7 +141,7 @@
             }
         };
         for event in events {
-            actions.extend(claim.on(event));
+            actions.extend(claim.handle(event));
         }
     }
     drop(running);
@@ -195,7 +195,7 @@
         // The claim may have taken long, and the daemon may have been paused:
         // whether it may still act is asked here, at the moment of use.
         if !self.may_send() {
-            return vec![Event::NeverLeft];
+            return vec![Event::NotSent];
         }
         let limit = self.call.deadline.since(clock::now()) + OVERTIME;
         let exchanged = tokio::time::timeout(limit.into(), self.exchange()).await;
@@ -219,7 +219,7 @@
         let request = call::request(&client, row, &call.path, Some(&call.idempotency));
         let mut response = match request.send_body(call.body.clone()).await {
             Ok(response) => response,
-            Err(error) if never_left(&error) => return vec![Event::NeverLeft],
+            Err(error) if never_left(&error) => return vec![Event::NotSent],
             Err(_) => return vec![Event::ServiceLost],
         };
         let status = response.status().as_u16();
--- a/kingcupbayd/tests/share.rs
+++ b/kingcupbayd/tests/share.rs
@@ -9,7 +9,7 @@
 use common::{
     Answer, Fleet, Process, ask, completion, control, daemon, finish, get, name, pairs, until,
 };
-use kingcupbay_core::{config::change::Change, standing::BOUND};
+use kingcupbay_core::{config::change::Change, standing::FRESHNESS_BOUND};
 use kingcupbay_standin::{Fault, Rule};
 
 const RATE: u64 = 2;
@@ -117,7 +117,7 @@
     let fleet = pair().await;
     control(&fleet.platform).set(Rule::new(Fault::Outage)).await.unwrap();
     // No proof from the table lasts as long; that it ended shows nowhere.
-    tokio::time::sleep((BOUND + BOUND).into()).await;
+    tokio::time::sleep((FRESHNESS_BOUND + FRESHNESS_BOUND).into()).await;
     let first = exhaust(&fleet.entries[0]).await;
     assert!(first > BURST * 9 / 10, "only {first} tokens served at one entry");
     let served = first + exhaust(&fleet.entries[1]).await;
