--- a/kingcupbay_core/src/claim/event.rs
+++ b/kingcupbay_core/src/claim/event.rs
@@ -1,4 +1,4 @@
-//! What happens to an attempt, and what it asks for.
+//! Events that an attempt handles and actions that it requests.
 
 use super::record::Outcome;
 use crate::wire::{
@@ -6,54 +6,56 @@
     table::{Read, Row, Txn, TxnAnswer},
 };
 
-/// What happened. Each event answers the last [`Action`] but
-/// [`Sent`](Event::Sent) and [`Deadline`](Event::Deadline), which come between.
+/// An event of an attempt. Each event answers the last [`Action`], except
+/// [`Sent`](Event::Sent) and [`Deadline`](Event::Deadline), which may come
+/// before that answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The table answered a transaction.
     StoreAnswer(TxnAnswer),
-    /// No answer to a transaction or read; the transaction may have taken
-    /// effect, or may still do so.
+    /// A transaction or read got no answer; the transaction may have taken effect
+    /// or may still do so.
     StoreLost,
     /// A transaction or read provably took no effect.
     StoreRefused,
     /// The table answered a read of the claim's row.
     RowRead(Option<Row>),
-    /// A byte of the call has left.
+    /// At least one byte of the call was sent.
     Sent,
-    /// The service's answer is whole.
+    /// The service's answer arrived completely.
     ServiceAnswered(Outcome),
-    /// No whole answer; the call may have run, or may still do so.
+    /// No complete answer arrived; the call may have run or may still do so.
     ServiceLost,
-    /// No byte of the call left, and none will.
+    /// No byte of the call was sent, and none will be.
     NotSent,
-    /// The caller stops waiting.
+    /// The caller's deadline has passed.
     Deadline,
 }
 
-/// What to do next. All but [`Answer`](Action::Answer) bring an event.
+/// An action for the shell. Each but [`Answer`](Action::Answer) leads to an
+/// event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Run this transaction.
     Txn(Txn),
     /// Read the claim's row.
     Read(Read),
-    /// Send the call, on a connection that carried nothing else.
+    /// Send the call on a connection that has carried nothing else.
     Call,
-    /// Tell the caller. The attempt may go on afterwards.
+    /// Answer the caller. The attempt may go on afterwards.
     Answer(Answer),
 }
 
-/// What the caller is told.
+/// The answer to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// The service's answer.
     Outcome {
         /// The answer.
         outcome: Outcome,
-        /// Whether an earlier attempt got it.
+        /// Whether an earlier attempt received it.
         replayed: bool,
     },
-    /// Why there is none.
+    /// The reason why there is no answer of the service.
     Failure(Failure),
 }
--- a/kingcupbay_core/src/claim/machine.rs
+++ b/kingcupbay_core/src/claim/machine.rs
@@ -1,4 +1,4 @@
-//! One attempt at a call that runs at most once.
+//! State machine of one attempt at a call that runs at most once.
 
 use super::{
     event::{Action, Answer, Event},
@@ -13,58 +13,59 @@
     },
 };
 
-/// How often a step is tried while the table gives no answer.
+/// Maximum number of tries of a step while the table gives no answer.
 const MAX_TRIES: u32 = 4;
 
-/// When to come back after a failure of the table or the service.
+/// Time after which a caller may retry when the table or the service failed.
 const RETRY_DELAY: Span = Span::from_secs(1);
 
-/// Who attempts which call.
+/// Identity of an attempt and of the call that it makes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Key of the claim's row, see [`row_key`](super::record::row_key).
+    /// Table key of the claim's row, see [`row_key`](super::record::row_key).
     pub key: String,
-    /// What the call asks for.
+    /// Digest of the call's content.
     pub digest: Digest,
-    /// Random; tells this attempt's writes from all others.
+    /// Random id that distinguishes this attempt's writes from all others.
     pub id: RequestId,
     /// Host of this daemon.
     pub claimer: Name,
-    /// The row of this daemon's fencing number at the revision it took it,
-    /// which is the number. A daemon that has a successor claims nothing.
+    /// Condition on the row of this daemon's fencing number, which is the row's
+    /// revision at which the daemon took over. It makes every claim fail once the
+    /// daemon has a successor.
     pub fence: Condition,
 }
 
-/// An attempt on its way.
+/// An attempt in progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
     attempt: Attempt,
     step: Step,
-    /// Whether the caller has been told. Invariant: at most once, and after
-    /// "not run" no [`Action::Call`] follows.
+    /// Whether the caller has been answered. Invariant: the caller is answered at
+    /// most once, and after "not run" no [`Action::Call`] follows.
     answered: bool,
 }
 
-/// Where the attempt stands; each names what it waits for.
+/// Step of an attempt, named after what it waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Step {
-    /// The claim, written over the revision `base`. `in_doubt`: an earlier write
-    /// of the same claim may still take effect.
+    /// The claim, written over revision `base`. `in_doubt`: an earlier write of
+    /// the same claim may still take effect.
     Claiming { base: u64, in_doubt: bool, tries: u32 },
-    /// A read that tells whether a lost claim took effect.
+    /// A read that shows whether a claim whose answer was lost took effect.
     Resolving { base: u64, tries: u32 },
-    /// The service. The claim stands at `revision`.
+    /// The service's answer. The claim's row is at `revision`.
     Calling { revision: u64, sent: bool },
     /// The write of the outcome.
     Recording { revision: u64, outcome: Outcome, tries: u32 },
-    /// The write that frees the key, and what the caller is told with it.
+    /// The write that releases the key; `failure` is the caller's answer.
     Releasing { revision: u64, failure: Failure, tries: u32 },
-    /// Nothing any more.
+    /// Nothing; the attempt is over.
     Over,
 }
 
 impl Claim {
-    /// Starts an attempt: the key is claimed before anything is sent.
+    /// Starts an attempt, which claims the key before it sends anything.
     pub fn start(attempt: Attempt) -> (Claim, Vec<Action>) {
         let step = Step::Claiming { base: 0, in_doubt: false, tries: 1 };
         let claim = Claim { attempt, step, answered: false };
@@ -72,12 +73,12 @@
         (claim, actions)
     }
 
-    /// Whether nothing is left to do.
+    /// Returns whether nothing is left to do.
     pub fn is_over(&self) -> bool {
         self.step == Step::Over
     }
 
-    /// Takes an event in and says what to do next.
+    /// Handles an event and returns the actions to do next.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         if event == Event::Deadline {
             return self.on_deadline();
@@ -98,8 +99,9 @@
         }
     }
 
-    /// The caller goes; what it is told must be true whatever follows. The
-    /// attempt goes on, so that a repeat finds the outcome or a free key.
+    /// Answers a caller whose deadline has passed. The answer must be true
+    /// whatever follows. The attempt goes on, so that a repeat finds the outcome
+    /// or a free key.
     fn on_deadline(&mut self) -> Vec<Action> {
         match &self.step {
             Step::Claiming { .. } | Step::Resolving { .. } => {
@@ -121,9 +123,9 @@
     fn on_claiming(&mut self, event: Event, base: u64, in_doubt: bool, tries: u32) -> Vec<Action> {
         match event {
             Event::StoreAnswer(TxnAnswer::Committed) => self.send_call(base + 1),
-            Event::StoreAnswer(TxnAnswer::Conflict(rows)) => self.on_conflict(&rows),
+            Event::StoreAnswer(TxnAnswer::Conflict(rows)) => self.on_claim_conflict(&rows),
             Event::StoreRefused if !in_doubt => self.finish(Answer::Failure(store_down())),
-            // The write may have taken effect: only the row can tell.
+            // The write may have taken effect; only the row shows it.
             Event::StoreLost | Event::StoreRefused => self.resolve(base, tries),
             _ => Vec::new(),
         }
@@ -149,7 +151,7 @@
                 let failure = Failure::not_run(Code::UpstreamFailed, "the service was not reached");
                 self.release(revision, failure.after(RETRY_DELAY), 1)
             }
-            // The claim stays without an outcome, and so for ever unrepeated.
+            // The claim stays without an outcome, so the call is never run again.
             Event::ServiceLost | Event::NotSent => self.finish(Answer::Failure(outcome_unknown())),
             _ => Vec::new(),
         }
@@ -163,8 +165,8 @@
         tries: u32,
     ) -> Vec<Action> {
         match event {
-            // Only this attempt writes over its own claim, so a conflict is
-            // its own write whose answer was lost.
+            // Only this attempt overwrites its own claim, so a conflict means that
+            // its own write took effect and the answer was lost.
             Event::StoreAnswer(_) => self.finish(Answer::Outcome { outcome, replayed: false }),
             Event::StoreLost | Event::StoreRefused if tries < MAX_TRIES => {
                 self.record(revision, outcome, tries + 1)
@@ -184,7 +186,9 @@
         tries: u32,
     ) -> Vec<Action> {
         match event {
-            Event::StoreAnswer(TxnAnswer::Conflict(rows)) => self.on_unreleased(&rows, failure),
+            Event::StoreAnswer(TxnAnswer::Conflict(rows)) => {
+                self.on_release_conflict(&rows, failure)
+            }
             Event::StoreLost | Event::StoreRefused if tries < MAX_TRIES => {
                 self.release(revision, failure, tries + 1)
             }
@@ -195,9 +199,10 @@
         }
     }
 
-    /// The row is not as it was when the release was written: either that
-    /// very release took effect, or a lost claim of this attempt did first.
-    fn on_unreleased(&mut self, rows: &[Row], failure: Failure) -> Vec<Action> {
+    /// Handles a conflict of the release: either that release already took effect
+    /// and its answer was lost, or a late claim of this attempt took effect before
+    /// it.
+    fn on_release_conflict(&mut self, rows: &[Row], failure: Failure) -> Vec<Action> {
         let row = rows.iter().find(|row| row.key == self.attempt.key);
         match row.map(|row| (row.revision, self.own_state(row))) {
             Some((revision, Some(State::Claimed))) => self.release(revision, failure, 1),
@@ -205,7 +210,7 @@
         }
     }
 
-    fn on_conflict(&mut self, rows: &[Row]) -> Vec<Action> {
+    fn on_claim_conflict(&mut self, rows: &[Row]) -> Vec<Action> {
         let row = rows.iter().find(|row| row.key == self.attempt.key);
         let superseded = rows.iter().any(|row| row.key == self.attempt.fence.key) || row.is_none();
         match row {
@@ -214,13 +219,13 @@
             }
             _ if superseded => self.finish(Answer::Failure(fenced())),
             Some(row) => self.on_row(row),
-            None => unreachable!("a missing row is a lost fence"),
+            None => unreachable!("a conflict without the claim's row is on the fence"),
         }
     }
 
-    /// The row stands in the way of the claim, or is the claim.
+    /// Handles a row that conflicts with the claim or is the claim itself.
     fn on_row(&mut self, row: &Row) -> Vec<Action> {
-        // A row that cannot be read may hold anybody's claim.
+        // An unreadable row may hold any attempt's claim.
         let Ok(record) = serde_json::from_str::<Record>(&row.value) else {
             return self.finish(Answer::Failure(outcome_unknown()));
         };
@@ -241,7 +246,8 @@
         }
     }
 
-    /// The claim stands. The call goes out only if nobody was told otherwise.
+    /// Sends the call, now that the claim is written, unless the caller was
+    /// already told that it did not run.
     fn send_call(&mut self, revision: u64) -> Vec<Action> {
         if self.answered {
             return self.release(revision, deadline_passed(), 1);
@@ -250,11 +256,11 @@
         vec![Action::Call]
     }
 
-    /// Nobody claims the key at `revision`.
+    /// Claims the key, which is free at `revision`.
     fn claim_free_key(&mut self, revision: u64) -> Vec<Action> {
         if self.answered {
-            // Nobody waits, but a lost claim may take effect yet and block
-            // the key for ever: a write in its place keeps it out.
+            // No caller waits, but a claim whose answer was lost may still take
+            // effect and block the key forever. This write makes it conflict.
             return self.release(revision, deadline_passed(), 1);
         }
         let tries = match &self.step {
@@ -293,7 +299,7 @@
         Action::Txn(txn)
     }
 
-    /// Writes the row over `revision`, and over no other.
+    /// Returns a write of the row that succeeds over `revision` only.
     fn write(&self, revision: u64, state: State) -> Txn {
         let attempt = &self.attempt;
         let record = Record {
@@ -311,7 +317,7 @@
         }
     }
 
-    /// The state of a row that this attempt wrote.
+    /// Returns the state of a row that this attempt wrote, `None` for any other.
     fn own_state(&self, row: &Row) -> Option<State> {
         let record: Record = serde_json::from_str(&row.value).ok()?;
         (record.attempt == self.attempt.id).then_some(record.state)
--- a/kingcupbay_core/src/claim/mod.rs
+++ b/kingcupbay_core/src/claim/mod.rs
@@ -1,13 +1,14 @@
 //! Calls that run at most once.
 //!
-//! Before such a call is sent, a row of the platform's table claims its key
-//! for one attempt; the outcome is written into the same row afterwards.
-//! [`Claim`] takes one attempt through these steps, [`Event`] by event, and
-//! says what to do next as [`Action`]s; [`record`] is the row.
+//! Before such a call is sent, an attempt claims the call's key by writing a
+//! row of the platform's table; afterwards it writes the outcome into the same
+//! row. [`Claim`] is the state machine of one attempt: it takes [`Event`]s and
+//! returns the [`Action`]s to do next. [`record`] defines the row.
 //!
-//! A row without an outcome is never run again, whoever wrote it and however
-//! long ago: nobody can prove that its call did not leave. The one exception
-//! is the attempt itself, when no byte of its call left.
+//! A call whose row has no outcome is never run again, whichever daemon wrote
+//! the row and however long ago, since nobody can prove that the call was not
+//! sent. The one exception is the attempt that wrote the row, if no byte of
+//! its call was sent.
 
 mod event;
 mod machine;
--- a/kingcupbay_core/src/gossip/message.rs
+++ b/kingcupbay_core/src/gossip/message.rs
@@ -1,4 +1,4 @@
-//! Pulls and their answers, as MessagePack: `POST /peer/pull`.
+//! Pulls and their answers, sent as MessagePack to `POST /peer/pull`.
 
 use std::collections::BTreeSet;
 
@@ -13,27 +13,27 @@
     time::Span,
 };
 
-/// Path of a pull.
+/// HTTP path of a pull.
 pub const PULL_PATH: &str = "/peer/pull";
 
-/// Path of a daemon's whole configuration, a [`Snapshot`].
+/// HTTP path of a daemon's whole configuration, a [`Snapshot`].
 pub const SNAPSHOT_PATH: &str = "/peer/snapshot";
 
-/// Unit of ages on the wire. A byte reaches 6.4 s, twice the freshness bound;
-/// half a unit on average is lost at each hop.
+/// Unit of ages on the wire. One byte holds up to 6.4 s, twice the freshness
+/// bound. Rounding up adds half a unit on average to an age at each hop.
 pub const AGE_UNIT: Span = Span::from_millis(25);
 
-/// Question of one daemon to another.
+/// Request of one daemon to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Pull {
-    /// Who asks; none before it has joined.
+    /// Id of the puller; `None` before it has joined.
     pub member: Option<MemberId>,
-    /// What it holds.
+    /// Number of the configuration that the puller holds.
     pub number: Number,
-    /// Whether only the answerer's own vouch is wanted.
+    /// Whether to answer with the answerer's own confirmation only.
     pub brief: bool,
-    /// What is known of each member's records; none when none are wanted.
+    /// Records the puller knows of each member; `None` if it wants no records.
     pub seen: Option<KnownSequences>,
 }
 
@@ -41,61 +41,62 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Answer {
-    /// Which start of the daemon at this address answers.
+    /// Incarnation of the daemon that answers at this address.
     pub incarnation: u64,
-    /// What it holds.
+    /// Number of the configuration that the answerer holds.
     pub number: Number,
     /// Patches that the puller lacks, from its next number on.
     pub patches: Vec<Patch>,
-    /// The puller lacks more than is kept as patches.
+    /// Whether the puller lacks more patches than the answerer keeps.
     pub truncated: bool,
-    /// Vouches of members that hold `number`; see [`pack`].
+    /// Confirmations of members that hold `number`; see [`pack`].
     pub holding: Vec<Run>,
-    /// Vouches of members not known to hold it.
+    /// Confirmations of members not known to hold `number`.
     pub behind: Vec<Run>,
-    /// Members that hold `number` and have not vouched lately.
+    /// Members that hold `number` and have not confirmed within the freshness
+    /// bound.
     pub silent: Vec<MemberId>,
     /// Members known to have ended.
     pub ended: Vec<MemberId>,
-    /// Records the puller lacks.
+    /// Records that the puller lacks.
     pub records: Vec<RecordUpdate>,
 }
 
-/// A whole configuration for a newcomer.
+/// A whole configuration, for a daemon that cannot catch up by patches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Snapshot {
     /// The configuration.
     pub config: Config,
-    /// The members under the number before it; see
+    /// Members of the previous configuration; see
     /// [`Membership`](crate::standing::Membership).
     pub before: BTreeSet<MemberId>,
 }
 
-/// Ages of members whose ids follow each other, one byte each, in
-/// [`AGE_UNIT`]s. A fleet that grew or was restarted in one go is one run.
+/// Ages of members with consecutive ids. Members that joined one after
+/// another, as when a fleet grows or restarts at once, form one run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Run {
-    /// Distance of the first id from the last one of the run before.
+    /// Distance of the first id from the last id of the previous run.
     pub gap: u32,
-    /// Ages of the members, one after the other.
+    /// Age of each member in [`AGE_UNIT`]s, one byte each.
     pub ages: Bytes,
 }
 
-/// Packs vouches: first those of members that hold `number`, then the others.
-/// Ages are rounded up, so that none ever shrinks; vouches older than a byte
-/// can say prove nothing to anyone and stay behind.
-pub fn pack(number: Number, vouches: &[Confirmation]) -> (Vec<Run>, Vec<Run>) {
+/// Packs confirmations into those of members that hold `number` and all
+/// others. Ages are rounded up so that they never shrink. Confirmations too
+/// old for one byte prove nothing to anyone and are left out.
+pub fn pack(number: Number, confirmations: &[Confirmation]) -> (Vec<Run>, Vec<Run>) {
     let (holding, behind): (Vec<&Confirmation>, Vec<&Confirmation>) =
-        vouches.iter().partition(|vouch| vouch.held >= number);
+        confirmations.iter().partition(|confirmation| confirmation.held >= number);
     (pack_runs(&holding), pack_runs(&behind))
 }
 
-/// The vouches out of [`pack`], where `number` is the answerer's.
+/// Unpacks the confirmations of [`pack`]; `number` is the answerer's.
 pub fn unpack(number: Number, holding: &[Run], behind: &[Run]) -> Vec<Confirmation> {
-    // Whoever passes vouches on has dropped those that name anything newer
-    // than what it holds itself, so its number bounds theirs.
+    // A daemon passes on only confirmations that name nothing newer than what
+    // it holds itself, so its number is an upper bound of theirs.
     let held = unpack_runs(holding).map(|(member, age)| Confirmation {
         member,
         number,
@@ -111,14 +112,14 @@
     held.chain(not).collect()
 }
 
-fn pack_runs(vouches: &[&Confirmation]) -> Vec<Run> {
-    let units = |vouch: &&Confirmation| {
-        let units = vouch.age.as_micros().div_ceil(AGE_UNIT.as_micros());
-        Some((vouch.member.raw(), u8::try_from(units).ok()?))
+fn pack_runs(confirmations: &[&Confirmation]) -> Vec<Run> {
+    let units = |confirmation: &&Confirmation| {
+        let units = confirmation.age.as_micros().div_ceil(AGE_UNIT.as_micros());
+        Some((confirmation.member.raw(), u8::try_from(units).ok()?))
     };
     let mut runs: Vec<(u32, Vec<u8>)> = Vec::new();
     let mut last = 0;
-    for (member, age) in vouches.iter().filter_map(units) {
+    for (member, age) in confirmations.iter().filter_map(units) {
         match runs.last_mut() {
             Some((_, ages)) if member == last + 1 => ages.push(age),
             _ => runs.push((member - last, vec![age])),
@@ -135,10 +136,10 @@
         Some((first, &run.ages))
     });
     starts.flat_map(|(first, ages)| {
-        ages.iter().enumerate().map(move |(place, &units)| {
+        ages.iter().enumerate().map(move |(offset, &units)| {
             let age = Span::from_micros(u64::from(units) * AGE_UNIT.as_micros());
-            // The run's last id was checked to fit, so this one does.
-            (MemberId::from_raw(first + place as u32), age)
+            // The run's last id was checked against overflow, so this one fits.
+            (MemberId::from_raw(first + offset as u32), age)
         })
     })
 }
--- a/kingcupbay_core/src/gossip/mod.rs
+++ b/kingcupbay_core/src/gossip/mod.rs
@@ -1,15 +1,16 @@
-//! What daemons tell each other: vouches, numbers, loads, residency.
+//! Gossip between daemons: confirmations, patches and records.
 //!
-//! Each daemon pulls a few peers every period. An answer carries the patches
-//! the puller lacks ([`message`]), the answerer's own vouch and the ones it
-//! knows of others, and the records that changed ([`record`]). Ages of vouches
-//! count from when the pull was sent, so nothing compares two clocks.
+//! Each daemon pulls from a few peers every period. An answer carries the
+//! patches that the puller lacks ([`message`]), the confirmations of the
+//! answerer and of the members it knows of, and the records that changed
+//! ([`record`]). The age of a confirmation counts from when the pull was sent,
+//! so clocks of different hosts are never compared.
 //!
-//! A new number does not wait for the next period: whoever learns one pulls a
-//! few peers at once, and whoever is pulled by a daemon that holds more pulls
-//! back at once.
+//! A new number does not wait for the next period: a daemon that receives one
+//! pulls from a few peers at once, and a daemon that is pulled by a peer that
+//! holds a newer number pulls back at once.
 //!
-//! [`Gossip`] decides; its commands return [`Action`]s for the shell to carry
+//! [`Gossip`] decides; its methods return [`Action`]s for the shell to carry
 //! out in order.
 
 pub mod message;
@@ -33,22 +34,22 @@
 /// Settings of [`Gossip`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Time between two rounds of pulls. An eighth of the freshness bound at
-    /// most: a vouch needs about six periods to reach half of 340 members.
+    /// Time between two rounds of pulls. At most an eighth of the freshness
+    /// bound: a confirmation needs about six periods to reach half of 340 members.
     pub period: Span,
     /// Peers pulled in a round. One is enough at 340 members, and the answer's
-    /// size times the rounds a second is what the byte budget is spent on.
+    /// size times the rounds a second is most of the traffic.
     pub fan_out: usize,
-    /// Peers pulled at once when a new number was learnt. Three reach all but
-    /// some six in a hundred without waiting for a period.
+    /// Peers pulled at once when a new number arrives. Three spread it to all but
+    /// about six in a hundred members without waiting for a period.
     pub eager_pulls: usize,
-    /// Time between two head reads while peers vouch; each daemon's share of
-    /// the table's reads. Without their vouches a read goes out every period.
+    /// Time between two head reads while a majority confirms; this bounds each
+    /// daemon's load on the table. Otherwise a read is sent every period.
     pub read_period: Span,
-    /// Rounds after which a pull asks for records; the list of what is known
-    /// already is about as long as all vouches.
+    /// Every how many rounds a pull asks for records. The list of known records
+    /// that it then carries is about as long as all confirmations.
     pub record_rounds: u32,
-    /// Time after which a pull without an answer is forgotten.
+    /// Time after which an unanswered pull is forgotten.
     pub timeout: Span,
 }
 
@@ -65,35 +66,36 @@
     }
 }
 
-/// One pull in ten goes to any member, so that one whose vouches ran out is
-/// found again; the others go to members that answer.
+/// One pull in this many, on average, picks among all members, so that a
+/// member without a recent confirmation is found again; the others pick among
+/// members that confirmed recently.
 const ANY_MEMBER_PERIOD: u64 = 10;
 
-/// Names a pull on its way; answers come back with it.
+/// Id of a pull, to match its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PullId(u64);
 
-/// What the shell is to do.
+/// An action for the shell.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send this pull and report its answer under its id, or its failure.
+    /// Send this pull, and report its answer or its failure under its id.
     SendPull {
-        /// The pull's name.
+        /// Id of the pull.
         id: PullId,
-        /// Whom to ask; its address stands in the configuration.
+        /// Member to ask; its address is in the configuration.
         to: MemberId,
-        /// What to send.
+        /// Message to send.
         pull: Pull,
     },
-    /// Ask this member for its whole configuration: too many patches are
-    /// missing to carry them.
+    /// Fetch the whole configuration from this member: more patches are missing
+    /// than it keeps.
     FetchSnapshot {
-        /// Whom to ask.
+        /// Member to ask.
         from: MemberId,
     },
-    /// Read the configuration's head and what is new since.
+    /// Read the configuration's head and the patches since.
     ReadHead,
-    /// Take this configuration into use.
+    /// Start using this configuration.
     Adopt(Box<Config>),
 }
 
@@ -103,7 +105,7 @@
     sent: Instant,
 }
 
-/// The conversation of one daemon with the others.
+/// Gossip state of one daemon.
 #[derive(Debug)]
 pub struct Gossip {
     settings: Settings,
@@ -120,8 +122,8 @@
 }
 
 impl Gossip {
-    /// A daemon that has just started. `incarnation` and `seed` are drawn at
-    /// random by the shell.
+    /// Creates the state of a daemon that has just started. The shell draws
+    /// `incarnation` and `seed` at random.
     pub fn new(settings: Settings, standing: Standing, incarnation: u64, seed: u64) -> Gossip {
         Gossip {
             settings,
@@ -138,25 +140,25 @@
         }
     }
 
-    /// Whether this daemon may act on what it knows.
+    /// Returns the state that decides whether this daemon may act.
     pub fn standing(&self) -> &Standing {
         &self.standing
     }
 
-    /// What is known of other members, and of this one.
+    /// Returns the known records of all members, this one included.
     pub fn records(&self) -> &Records {
         &self.records
     }
 
-    /// Publishes this daemon's own records.
+    /// Returns the records, to publish this daemon's own.
     pub fn records_mut(&mut self) -> &mut Records {
         &mut self.records
     }
 
-    /// Time passes: pulls and reads that are due.
+    /// Forgets pulls that timed out and returns the pulls and reads that are due.
     pub fn tick(&mut self, now: Instant) -> Vec<Action> {
         let timeout = self.settings.timeout;
-        self.pending.retain(|_, flight| now.since(flight.sent) <= timeout);
+        self.pending.retain(|_, pull| now.since(pull.sent) <= timeout);
         let mut actions = Vec::new();
         if self.is_due(self.last_round, self.settings.period, now) {
             self.last_round = Some(now);
@@ -164,29 +166,29 @@
             let records = self.rounds.is_multiple_of(self.settings.record_rounds);
             self.pull_peers(now, self.settings.fan_out, records, &mut actions);
         }
-        let vouched = self.standing.has_majority(now) && !self.standing.is_behind();
-        let hurried = self.settings.period.min(self.settings.read_period);
-        let pause = if vouched { self.settings.read_period } else { hurried };
-        if self.is_due(self.last_read, pause, now) {
+        let confirmed = self.standing.has_majority(now) && !self.standing.is_behind();
+        let short = self.settings.period.min(self.settings.read_period);
+        let interval = if confirmed { self.settings.read_period } else { short };
+        if self.is_due(self.last_read, interval, now) {
             self.last_read = Some(now);
             actions.push(Action::ReadHead);
         }
         actions
     }
 
-    /// Pulls every member that is not known to hold the number held here, and
-    /// asks for nothing but its own vouch. For a daemon that waits for a
-    /// majority: it should not take as long as gossip does.
+    /// Pulls every member that is not known to hold the number held here and has
+    /// no pull pending, and asks for its own confirmation only. A daemon that
+    /// waits for a majority uses this, since gossip would take longer.
     pub fn pull_missing(&mut self, now: Instant) -> Vec<Action> {
         let membership = self.standing.membership();
         let both = membership.members.union(&membership.before);
-        let asked = |id: MemberId| self.pending.values().any(|flight| flight.to == id);
+        let asked = |id: MemberId| self.pending.values().any(|pull| pull.to == id);
         let lacks = |id: &MemberId| !self.standing.holds_current(*id) && !asked(*id);
         let missing: Vec<_> = both.copied().filter(lacks).collect();
         missing.into_iter().map(|to| self.start_pull(now, to, true, false)).collect()
     }
 
-    /// A peer pulls this daemon.
+    /// Answers a peer's pull. Pulls back if the peer holds a newer number.
     pub fn answer_pull(&mut self, now: Instant, pull: &Pull) -> (Answer, Vec<Action>) {
         let mut actions = Vec::new();
         if let Some(member) = pull.member {
@@ -198,8 +200,8 @@
         (self.build_answer(now, pull), actions)
     }
 
-    /// The answer to a pull. An id that is not on its way any more, because
-    /// the answer came already or too late, changes nothing.
+    /// Handles the answer to a pull. Ignores an id that is not pending, because
+    /// the answer is a duplicate or came after the timeout.
     pub fn handle_answer(
         &mut self,
         now: Instant,
@@ -207,13 +209,13 @@
         answer: Answer,
         config: &Config,
     ) -> Vec<Action> {
-        let Some(flight) = self.pending.remove(&id) else { return Vec::new() };
+        let Some(pull) = self.pending.remove(&id) else { return Vec::new() };
         let mut actions = Vec::new();
-        self.check_incarnation(flight.to, &answer, config);
+        self.check_incarnation(pull.to, &answer, config);
         self.take_patches(now, &answer, config, &mut actions);
         if answer.number > self.standing.number() {
             actions.push(match answer.truncated {
-                true => Action::FetchSnapshot { from: flight.to },
+                true => Action::FetchSnapshot { from: pull.to },
                 false => Action::ReadHead,
             });
         }
@@ -223,21 +225,21 @@
         for member in answer.ended {
             self.standing.record_end(member);
         }
-        for vouch in unpack(answer.number, &answer.holding, &answer.behind) {
-            self.standing.record_confirmation(vouch, flight.sent);
+        for confirmation in unpack(answer.number, &answer.holding, &answer.behind) {
+            self.standing.record_confirmation(confirmation, pull.sent);
         }
         self.records.merge(answer.records);
         actions
     }
 
-    /// A pull got no answer.
+    /// Forgets a pull that got no answer.
     pub fn forget_pull(&mut self, id: PullId) {
         self.pending.remove(&id);
     }
 
-    /// The head read that was sent at `sent` found `head` in force and, after
-    /// the configuration in use, these patches in order. `config` is the one
-    /// that results; it is the same as before when there are none.
+    /// Handles the result of the head read sent at `sent`, which found `head` in
+    /// force. `config` is the configuration after all patches that the read
+    /// brought, or the unchanged one if there were none.
     pub fn handle_head_read(
         &mut self,
         now: Instant,
@@ -255,7 +257,8 @@
         actions
     }
 
-    /// One patch read from the table or written there: `config` results.
+    /// Adds a patch that was read from the table, written there or received from
+    /// a peer; `config` is the resulting configuration.
     pub fn add_patch(&mut self, patch: crate::config::patch::Patch, config: &Config) {
         if config.number == self.standing.number().next() {
             self.patches.add(config.number, patch);
@@ -263,7 +266,8 @@
         }
     }
 
-    /// A whole configuration from a peer or the object store.
+    /// Adopts a whole configuration from a peer or the object store if it is
+    /// newer.
     pub fn restore(&mut self, snapshot: Snapshot) -> Vec<Action> {
         if snapshot.config.number <= self.standing.number() {
             return Vec::new();
@@ -274,14 +278,14 @@
         vec![Action::Adopt(Box::new(snapshot.config))]
     }
 
-    /// What a newcomer needs to count majorities from `config` on.
+    /// Returns what another daemon needs to count majorities from `config` on.
     pub fn snapshot(&self, config: &Config) -> Snapshot {
         let before = self.standing.membership().before.clone();
         Snapshot { config: config.clone(), before }
     }
 
-    /// Who it was that answered. Another incarnation at a member's address
-    /// means that the member has ended, since it gave the address free.
+    /// Checks which incarnation answered. Another one at a member's address means
+    /// that the member has ended, since it has given up the address.
     fn check_incarnation(&mut self, to: MemberId, answer: &Answer, config: &Config) {
         let expected = config.members.get(to).map(|row| row.incarnation);
         if expected.is_some_and(|incarnation| incarnation != answer.incarnation) {
@@ -318,8 +322,8 @@
         let standing = &self.standing;
         let number = standing.number();
         let own = standing.own_confirmation().into_iter().collect();
-        let vouches = if pull.brief { own } else { standing.confirmations(now) };
-        let (holding, behind) = pack(number, &vouches);
+        let confirmations = if pull.brief { own } else { standing.confirmations(now) };
+        let (holding, behind) = pack(number, &confirmations);
         let (patches, truncated) = self.patches.since(pull.number, number);
         Answer {
             incarnation: self.incarnation,
@@ -341,7 +345,8 @@
         }
     }
 
-    /// Looks for this incarnation's own join, in what the table has shown.
+    /// Looks for this incarnation's own join in the configuration read from the
+    /// table.
     fn find_own_join(&mut self, config: &Config) {
         let own = config.members.iter().find(|(_, row)| row.incarnation == self.incarnation);
         if let Some((id, _)) = own
--- a/kingcupbay_core/src/gossip/patches.rs
+++ b/kingcupbay_core/src/gossip/patches.rs
@@ -1,18 +1,19 @@
-//! The newest patches, for peers that lack them.
+//! The newest patches, kept for peers that lack them.
 
 use std::collections::BTreeMap;
 
 use crate::{config::patch::Patch, id::Number};
 
-/// Patches kept. At 780 a day a daemon that was cut off for an hour still
-/// catches up by patches.
+/// Maximum number of patches kept. At 780 patches a day, a daemon that was cut
+/// off for an hour can still catch up by patches.
 const MAX_PATCHES: usize = 64;
 
-/// Changes carried in one answer. A declaration of thousands of rows is one
-/// patch, and always carried; behind it the next pull brings more.
+/// Maximum number of changes in one answer. A declaration of thousands of rows
+/// is one patch, and the first patch is always sent; the next pull brings those
+/// after it.
 const MAX_ANSWER_CHANGES: usize = 256;
 
-/// The newest patches by the number they made.
+/// The newest patches by the number that they created.
 #[derive(Debug, Default)]
 pub(super) struct RecentPatches {
     patches: BTreeMap<Number, Patch>,
@@ -28,18 +29,19 @@
         }
     }
 
-    /// Whether a number was added since this was last asked.
+    /// Returns whether a patch was added since the last call.
     pub(super) fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// After a gap the older patches lead nowhere.
+    /// Drops all patches. After a jump to a newer configuration they no longer
+    /// lead up to it.
     pub(super) fn clear(&mut self) {
         self.patches.clear();
     }
 
-    /// Patches that lead on from `known` towards `number`, and whether they
-    /// are too few ever to get there.
+    /// Returns the patches that lead from `known` towards `number`, and whether
+    /// `known` is too old to get there by patches.
     pub(super) fn since(&self, known: Number, number: Number) -> (Vec<Patch>, bool) {
         if known >= number {
             return (Vec::new(), false);
--- a/kingcupbay_core/src/gossip/record.rs
+++ b/kingcupbay_core/src/gossip/record.rs
@@ -1,6 +1,7 @@
-//! Each member's own state as the others know it, opaque to gossip.
+//! Records that members publish to each other; gossip does not read their
+//! content.
 //!
-//! A member numbers the versions of its records; only newer ones travel.
+//! A member numbers the versions of its records, and only newer ones are sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,10 +10,11 @@
 
 use crate::id::{Id, MemberId};
 
-/// Bytes of records in one answer; the rest comes with the next.
+/// Bytes of records after which an answer takes no further member's records;
+/// the rest follows with the next answer.
 const MAX_ANSWER_BYTES: usize = 16 * 1024;
 
-/// What a record is about.
+/// Topic of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub enum Topic {
@@ -26,25 +28,26 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
-    /// Counts the member's changes over both topics. Only grows.
+    /// Number of changes that the member made to its records of both topics. Only
+    /// grows.
     pub sequence: u32,
-    /// The content.
+    /// Content, opaque to gossip.
     pub body: Bytes,
 }
 
-/// A record on its way.
+/// A record as sent to a peer: member, topic, sequence number and content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RecordUpdate(pub MemberId, pub Topic, pub u32, pub Bytes);
 
-/// Newest sequence number known of each member, as flat pairs of (distance
+/// Newest known sequence number of each member, as flat pairs of (distance
 /// from the previous id, sequence number).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KnownSequences(Vec<u32>);
 
-/// Everything known of everybody's records.
+/// The newest known records of all members.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
     me: Option<MemberId>,
@@ -53,19 +56,19 @@
 }
 
 impl Records {
-    /// This daemon's own id; its records start anew under it.
+    /// Sets this daemon's own id; its records start anew under it.
     pub(super) fn set_own_id(&mut self, me: MemberId) {
         self.me = Some(me);
     }
 
-    /// Drops the records of all but `members`.
+    /// Drops the records of all members but `members`.
     pub(super) fn retain(&mut self, members: &BTreeSet<MemberId>) {
         self.load.retain(|id, _| members.contains(id));
         self.slack.retain(|id, _| members.contains(id));
     }
 
-    /// Publishes this daemon's own record, unless it says what it said. Before
-    /// the daemon has joined there is nobody to publish as.
+    /// Publishes this daemon's own record unless its content is unchanged. Does
+    /// nothing before the daemon has joined, when it has no id to publish under.
     pub fn publish(&mut self, topic: Topic, body: Bytes) {
         let Some(me) = self.me else { return };
         if self.by_topic(topic).get(&me).is_some_and(|record| record.body == body) {
@@ -75,7 +78,7 @@
         self.by_topic_mut(topic).insert(me, Record { sequence, body });
     }
 
-    /// The records of a topic by member.
+    /// Returns the records of a topic by member.
     pub fn by_topic(&self, topic: Topic) -> &BTreeMap<MemberId, Record> {
         match topic {
             Topic::Load => &self.load,
@@ -90,18 +93,18 @@
         }
     }
 
-    /// Takes newer records in.
-    pub(super) fn merge(&mut self, carried: Vec<RecordUpdate>) {
-        for RecordUpdate(member, topic, sequence, body) in carried {
+    /// Stores the records that are newer than the known ones.
+    pub(super) fn merge(&mut self, updates: Vec<RecordUpdate>) {
+        for RecordUpdate(member, topic, sequence, body) in updates {
             let record = self.by_topic_mut(topic).entry(member).or_default();
-            // A late answer must not bring an older state back.
+            // A late answer must not bring back an older state.
             if sequence > record.sequence && self.me != Some(member) {
                 *self.by_topic_mut(topic).entry(member).or_default() = Record { sequence, body };
             }
         }
     }
 
-    /// What is known, for the next pull.
+    /// Returns the known sequence numbers, for the next pull.
     pub(super) fn known_sequences(&self) -> KnownSequences {
         let members: BTreeSet<_> = self.load.keys().chain(self.slack.keys()).copied().collect();
         let mut flat = Vec::with_capacity(members.len() * 2);
@@ -114,12 +117,13 @@
         KnownSequences(flat)
     }
 
-    /// Records newer than `seen`, a member's either all or none: the puller's
-    /// next list names one number for both topics.
+    /// Returns the records newer than `seen`. A member's records are sent either
+    /// all or not at all, because the puller's next list names one sequence number
+    /// for both topics.
     pub(super) fn since(&self, seen: &KnownSequences) -> Vec<RecordUpdate> {
         let seen = seen.by_member();
         let members: BTreeSet<_> = self.load.keys().chain(self.slack.keys()).copied().collect();
-        let (mut carried, mut bytes) = (Vec::new(), 0);
+        let (mut updates, mut bytes) = (Vec::new(), 0);
         for member in members {
             let known = seen.get(&member).copied().unwrap_or(0);
             for topic in [Topic::Load, Topic::Slack] {
@@ -127,14 +131,14 @@
                 if record.sequence > known {
                     bytes += record.body.len();
                     let body = record.body.clone();
-                    carried.push(RecordUpdate(member, topic, record.sequence, body));
+                    updates.push(RecordUpdate(member, topic, record.sequence, body));
                 }
             }
             if bytes > MAX_ANSWER_BYTES {
                 break;
             }
         }
-        carried
+        updates
     }
 
     fn newest_sequence(&self, member: MemberId) -> u32 {
--- a/kingcupbay_core/src/standing/accept.rs
+++ b/kingcupbay_core/src/standing/accept.rs
@@ -1,8 +1,9 @@
-//! How a patch is written and when it is acknowledged.
+//! Writing a patch to the table and acknowledging it.
 //!
-//! The daemon that takes a patch drives one [`Acceptance`]: it asks for the
-//! next [`Step`], carries it out and tells the outcome. The table decides
-//! between two writers; the majority decides when the patch is in force.
+//! The daemon that receives a patch drives one [`Acceptance`]: it asks for the
+//! next [`Step`], carries it out and reports the result. The table orders
+//! concurrent writers; a patch is acknowledged once no daemon with standing
+//! can miss it for longer than the freshness bound.
 
 use crate::{
     config::{
@@ -15,70 +16,72 @@
     wire::table::{Condition, Txn, TxnAnswer, Write},
 };
 
-/// What to do next for a patch.
+/// The next step for a patch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing; ask again when a number or a vouch has come in. Pull the
-    /// members at once, so that it does not take long.
+    /// Nothing to do. Ask again when a number or a confirmation has arrived, and
+    /// pull the members at once to shorten the wait.
     Wait,
-    /// This daemon is behind; read the head and catch up.
+    /// This daemon is behind: read the head and catch up.
     CatchUp,
-    /// Write it with [`txn`] and tell the outcome by [`Acceptance::written`].
+    /// Write the patch with [`patch_txn`] and report the result to
+    /// [`Acceptance::finish_write`].
     Write,
-    /// Read the delta row of this number and tell it by
-    /// [`Acceptance::resolved`].
+    /// Read the delta row of this number and report it to
+    /// [`Acceptance::resolve`].
     Resolve(Number),
-    /// In force: no daemon with standing can miss it for longer than the bound.
+    /// The patch is in force: no daemon with standing can miss it for longer than
+    /// the bound.
     Acknowledge(Number),
-    /// Another patch got the number.
+    /// Another patch took the number.
     Stale,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Stage {
-    /// Not written yet, as far as is known.
+    /// No write is known to have taken effect.
     Ready,
-    /// The write is on its way.
+    /// The write was sent and is unanswered.
     Writing,
-    /// It may or may not be in the table.
+    /// The patch may or may not be in the table.
     Unknown,
-    /// The table has it.
+    /// The table has the patch.
     Taken,
-    /// The table has another one.
+    /// The table has another patch under this number.
     Lost,
 }
 
-/// One patch on its way to being in force.
+/// Progress of one patch towards being in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Acceptance {
     id: RequestId,
     against: Number,
     stage: Stage,
-    /// Whether a write is out whose answer never came. It may take effect
-    /// later than a read that does not find it.
+    /// Whether the answer to a write was lost. That write may still take effect
+    /// after a read that does not find it.
     in_doubt: bool,
 }
 
-/// What can be said of a patch at any time.
+/// Whether a patch was written, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It is not in the table, and never will be unless it is sent again.
+    /// The patch is not in the table and will not be unless it is sent again.
     NotWritten,
-    /// The table may have taken it, or may yet.
+    /// The patch may be in the table, or may still get there.
     Unknown,
-    /// The table has it.
+    /// The table has the patch under this number.
     Taken(Number),
 }
 
 impl Acceptance {
-    /// Begins with a patch as an operator sent it, perhaps again.
+    /// Starts with a patch as an operator sent it, possibly a repeated one.
     pub fn new(patch: &Patch) -> Acceptance {
         Acceptance { id: patch.id, against: patch.against, stage: Stage::Ready, in_doubt: false }
     }
 
-    /// The write was answered, or its answer was lost (`None`). The table may
-    /// have taken a write whose answer is lost, and a conflict may be with
-    /// this patch's own earlier write; both show in the delta row only.
+    /// Reports the answer to the write, `None` if it was lost. The table may have
+    /// executed a write whose answer was lost, and a conflict may come from this
+    /// patch's own earlier write. Only the delta row tells in both cases.
     pub fn finish_write(&mut self, answer: Option<&TxnAnswer>) {
         if self.stage != Stage::Writing {
             return;
@@ -90,32 +93,35 @@
         };
     }
 
-    /// The write provably never arrived.
+    /// Reports that the write provably never reached the table.
     pub fn cancel_write(&mut self) {
         if self.stage == Stage::Writing {
             self.stage = Stage::Ready;
         }
     }
 
-    /// The delta row of the number this patch asks for holds the patch `found`.
+    /// Reports the id of the patch in the delta row of [`Self::number`], `None` if
+    /// there is no such row.
     pub fn resolve(&mut self, found: Option<RequestId>) {
         self.stage = match (self.stage, found) {
             (Stage::Unknown | Stage::Ready, Some(id)) if id == self.id => Stage::Taken,
             (Stage::Unknown | Stage::Ready, Some(_)) => Stage::Lost,
             (Stage::Unknown, None) => Stage::Ready,
-            // Asked because a later number is in force: the row was there
-            // once and is cleared away by now, too old to be repeated.
+            // The read was needed because a later number is in force: the row did
+            // exist and has since been removed, and so old a patch is not accepted
+            // again.
             (Stage::Ready, None) => Stage::Lost,
             (stage, _) => stage,
         };
     }
 
-    /// The write is sent. Until it is answered no second one is.
+    /// Reports that the write is being sent. No second write is sent until it is
+    /// answered.
     pub fn begin_write(&mut self) {
         self.stage = Stage::Writing;
     }
 
-    /// What can be said of the patch now.
+    /// Returns whether the patch was written, as far as is known now.
     pub fn outcome(&self) -> WriteOutcome {
         match self.stage {
             Stage::Taken => WriteOutcome::Taken(self.number()),
@@ -125,12 +131,12 @@
         }
     }
 
-    /// The number the patch makes.
+    /// Returns the number that the patch creates.
     pub fn number(&self) -> Number {
         self.against.next()
     }
 
-    /// What to do next.
+    /// Returns the next step.
     pub fn next_step(&self, standing: &Standing) -> Step {
         let current = standing.number();
         match self.stage {
@@ -142,28 +148,36 @@
             Stage::Taken => Step::Wait,
             Stage::Ready if current < self.against => Step::CatchUp,
             Stage::Ready if current > self.against => Step::Resolve(self.number()),
-            // A daemon may still stand on the number before the current one.
-            // Its majority must meet the one that holds the current number,
-            // so that one has to be there before the next number is.
+            // Other daemons may still have standing under the number before the
+            // current one. Their majorities must meet a holder of the current
+            // number, so the current number must be stable before the next one is
+            // written.
             Stage::Ready if !standing.is_stable(current) => Step::Wait,
             Stage::Ready => Step::Write,
         }
     }
 }
 
-/// Whether `patch` may be written on top of `config`: it is not stale, each of
-/// its changes checks, and it moves membership by one member or not at all.
+/// Applies `patch` to `config` and returns the result.
+///
+/// # Errors
+///
+/// Fails if the patch is stale, if one of its changes is invalid, or if it
+/// changes membership together with anything else.
 pub fn check_patch(config: &Config, patch: &Patch) -> Result<Config, PatchError> {
-    let moves = |change: &Change| matches!(change, Change::Join { .. } | Change::Leave { .. });
-    // Majorities meet across one step of membership only.
-    if patch.changes.len() > 1 && patch.changes.iter().any(moves) {
+    let is_membership =
+        |change: &Change| matches!(change, Change::Join { .. } | Change::Leave { .. });
+    // Majorities of two memberships are sure to overlap only if the memberships
+    // differ by a single change.
+    if patch.changes.len() > 1 && patch.changes.iter().any(is_membership) {
         return Err(PatchError::Membership);
     }
     config.patched(patch)
 }
 
-/// The conditional write of `patch`. `head` is the head row as last read, with
-/// the row's revision; a table without that row has `Head::default()` and 0.
+/// Returns the conditional write of `patch`. `head` is the head row as last
+/// read and `revision` its revision; without a head row these are
+/// `Head::default()` and 0.
 pub fn patch_txn(head: Head, revision: u64, patch: &Patch) -> Txn {
     let number = patch.against.next();
     let head = Head { number, ..head };
--- a/kingcupbay_core/src/standing/mod.rs
+++ b/kingcupbay_core/src/standing/mod.rs
@@ -1,24 +1,27 @@
-//! Whether this daemon may act on what it knows.
+//! Freshness lease: whether this daemon may act on the configuration it holds.
 //!
-//! A daemon stands while it can show that no patch acknowledged longer ago
-//! than [`Settings::bound`] is unknown to it. It shows that by either of
+//! A daemon has standing, that is, may act, while it can prove that it misses
+//! no patch that was acknowledged longer ago than [`Settings::bound`]. Either
+//! of these is a proof:
 //!
 //! - a read of the configuration's head in the table, timed from when the
 //!   read was *sent*;
-//! - the vouches of a majority of the members of the configuration it holds,
-//!   each saying "at this age I knew nothing newer than this number".
+//! - confirmations by a majority of the members of the configuration it holds,
+//!   each stating "at this age I knew nothing newer than this number".
 //!
-//! Why that holds: a patch is acknowledged ([`accept`]) only once half of the
-//! members of the configuration before it, or more, hold it, and no patch is
-//! written before the one before it has got that far. So for whichever number
-//! a daemon holds, half of the very members it counts held the next one before
-//! that one, or any later one, was acknowledged. A half and a majority share a
-//! member, a member's number never goes back, and a member that restarts is
-//! another member. Hence one of the vouches that were made after the
-//! acknowledgement names a newer number, and is not counted.
+//! Why a majority's confirmations suffice: a patch is acknowledged ([`accept`])
+//! only once at least half of the members of the configuration before it hold
+//! it, and no patch is written before its predecessor is held as widely.
+//! Therefore, whichever number a daemon holds, at least half of the members it
+//! counts held the next number before that number, or any later one, was
+//! acknowledged. Any half and any majority of a set share a member. A member's
+//! number never decreases, and a daemon that restarts becomes another member.
+//! Hence, among the confirmations of a majority made after the acknowledgement,
+//! at least one names a newer number and is not counted.
 //!
-//! With the table gone for everyone nothing can be acknowledged, the majority
-//! keeps vouching and work goes on; an island without a majority stops.
+//! While no daemon can reach the table, nothing can be acknowledged, so a
+//! majority that keeps confirming may go on. A partition without a majority
+//! stops.
 
 pub mod accept;
 mod membership;
@@ -34,18 +37,18 @@
 pub use membership::Membership;
 use proof::Proof;
 
-/// How old the newest proof may be.
+/// Maximum age of the newest proof.
 ///
-/// A withdrawn key must be dead within 5 s at the worst-placed host. 3 s leave
-/// 2 s for the patch to be held by a majority and for running streams to be
-/// ended, and are twelve of today's pull periods of 250 ms: a vouch reaches
-/// 340 members by pulls of one peer a period in about half of that.
+/// A withdrawn key must stop working within 5 s on every host. 3 s leave 2 s
+/// for a majority to receive the patch and for running streams to be ended.
+/// 3 s are also twelve of the default pull periods of 250 ms; with one pull
+/// per period a confirmation reaches 340 members in about half of that.
 pub const FRESHNESS_BOUND: Span = Span::from_secs(3);
 
-/// Settings of [`Standing`]; the same for the whole fleet.
+/// Settings of [`Standing`]. All daemons of a fleet must use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Settings {
-    /// How old the newest proof may be.
+    /// Maximum age of the newest proof.
     pub bound: Span,
 }
 
@@ -55,46 +58,49 @@
     }
 }
 
-/// What one daemon can say about a member, itself included.
+/// A member's statement that it knew nothing newer than a number, as this
+/// daemon received or made it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Confirmation {
-    /// Who vouches. A restarted daemon is another member.
+    /// The member that confirms. A restarted daemon is another member.
     pub member: MemberId,
-    /// It knew nothing newer than this.
+    /// The member knew nothing newer than this number.
     pub number: Number,
-    /// It holds at least this. Unlike `number` this stays true for ever.
+    /// The member holds at least this number. Unlike `number`, this never expires.
     pub held: Number,
-    /// How long ago, at most: never less than the true age.
+    /// Upper bound on the time since the statement was made.
     pub age: Span,
 }
 
-/// What is known about another member.
+/// State of another member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Peer {
-    /// The greatest number it is known to hold.
+    /// Greatest number the member is known to hold.
     held: Number,
-    /// Whether it is known to have ended. It will vouch for nothing any more,
-    /// so it cannot vouch for an old number: it counts as holding every one.
+    /// Whether the member is known to have ended. It makes no further
+    /// confirmations, so it cannot confirm an old number: it counts as holding
+    /// every number.
     ended: bool,
     proof: Proof,
 }
 
-/// What this daemon knows about how recent its knowledge is.
+/// Evidence of how recent this daemon's configuration is.
 ///
-/// Invariant: `membership` only moves to greater numbers.
+/// Invariant: the number of `membership` never decreases.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Standing {
     settings: Settings,
     membership: Membership,
-    /// Set once a read of the table has shown this incarnation's own join.
+    /// This daemon's id; set once a read of the table has shown the join of this
+    /// incarnation.
     me: Option<MemberId>,
-    /// Reads of the table.
+    /// Newest proof from reads of the table.
     table: Proof,
     peers: BTreeMap<MemberId, Peer>,
 }
 
 impl Standing {
-    /// A daemon that has just started and knows nothing.
+    /// Creates the state of a daemon that has just started.
     pub fn new(settings: Settings) -> Standing {
         Standing {
             settings,
@@ -105,8 +111,8 @@
         }
     }
 
-    /// This daemon now holds `membership`'s configuration. An older one is
-    /// ignored, so answers that come late or twice never take it back.
+    /// Moves to the configuration of `membership`. Ignores one that is not newer,
+    /// so late and duplicate answers never take the daemon back.
     pub fn advance(&mut self, membership: Membership) {
         if membership.number <= self.membership.number {
             return;
@@ -120,36 +126,39 @@
         self.membership = membership;
     }
 
-    /// A read of the table showed this incarnation's own join as `me`.
+    /// Records that a read of the table showed this incarnation's own join as
+    /// `me`.
     ///
-    /// Guards against a restarted daemon that vouches as the member it was:
-    /// patches that the member held, and which were acknowledged on its word,
-    /// would be missing from what it vouches for. A new id vouches for nothing
-    /// that was acknowledged before it joined.
+    /// Guards against a restarted daemon that confirms under its former id: it
+    /// might lack patches which that member held and which were acknowledged on
+    /// the strength of that. A new id counts for nothing that was acknowledged
+    /// before it joined.
     pub fn record_join(&mut self, me: MemberId) {
         self.me = Some(me);
     }
 
-    /// The head read that was sent at `sent` found `number` in force.
+    /// Records that the head read sent at `sent` found `number` in force.
     ///
-    /// Timed from the sending: the answer may be as old as that, and a read
-    /// timed from its answer would hide a patch acknowledged while it travelled.
+    /// The age counts from sending: the table may have answered at any time since
+    /// then, and counting from the arrival would hide a patch that was
+    /// acknowledged while the answer was in transit.
     pub fn record_head_read(&mut self, number: Number, sent: Instant) {
         self.table.record(number, sent, self.membership.number);
     }
 
-    /// A vouch out of the answer to a pull that was sent at `sent`.
-    pub fn record_confirmation(&mut self, vouch: Confirmation, sent: Instant) {
-        if self.me == Some(vouch.member) || !self.membership.includes(vouch.member) {
+    /// Records a confirmation from the answer to a pull sent at `sent`. Ignores
+    /// this daemon's own confirmations and those of non-members.
+    pub fn record_confirmation(&mut self, confirmation: Confirmation, sent: Instant) {
+        if self.me == Some(confirmation.member) || !self.membership.includes(confirmation.member) {
             return;
         }
-        let peer = self.peers.entry(vouch.member).or_default();
-        peer.held = peer.held.max(vouch.held);
-        peer.proof.record(vouch.number, sent - vouch.age, self.membership.number);
+        let peer = self.peers.entry(confirmation.member).or_default();
+        peer.held = peer.held.max(confirmation.held);
+        peer.proof.record(confirmation.number, sent - confirmation.age, self.membership.number);
     }
 
-    /// `member` holds `number`, said without an age: out of a pull itself,
-    /// whose time on the way nobody knows.
+    /// Records that `member` holds `number`. The statement comes from a pull
+    /// request, whose time in transit is unknown, so it is no proof of freshness.
     pub fn record_held(&mut self, member: MemberId, number: Number) {
         if self.me != Some(member) && self.membership.includes(member) {
             let peer = self.peers.entry(member).or_default();
@@ -157,43 +166,47 @@
         }
     }
 
-    /// `member` has ended: a pull to its address was answered by another
-    /// incarnation, which could take the address only after it.
+    /// Records that `member` has ended: a pull to its address was answered by
+    /// another incarnation, which can take the address only after `member` ended.
     ///
-    /// Guards against a fleet that restarted as a whole and could never again
-    /// show that a majority of its former members holds a patch.
+    /// Without this, a fleet that restarted as a whole could never again show that
+    /// half of its former members hold a patch.
     pub fn record_end(&mut self, member: MemberId) {
         if self.me != Some(member) && self.membership.includes(member) {
             self.peers.entry(member).or_default().ended = true;
         }
     }
 
-    /// Whether this daemon may act on what it knows. To be asked at each use
-    /// and never kept across an await: the process may be paused there.
+    /// Returns whether this daemon may act on the configuration it holds. Call it
+    /// at each use and don't keep the result across an await: the process may be
+    /// paused there.
     ///
-    /// Only members may: one that was paused and replaced meanwhile, or was
-    /// removed, would otherwise go on beside its successor.
+    /// Only members may act. Otherwise a daemon that was removed, or that was
+    /// paused and replaced, would go on beside its successor.
     pub fn may_act(&self, now: Instant) -> bool {
         self.is_member() && (self.table_is_fresh(now) || self.has_majority(now))
     }
 
-    /// Whether a majority vouches, whatever the table says.
+    /// Returns whether a majority of the members has confirmed recently,
+    /// regardless of reads of the table.
     pub fn has_majority(&self, now: Instant) -> bool {
-        let vouching = |member: &&MemberId| {
+        let confirmed = |member: &&MemberId| {
             self.me == Some(**member) || self.confirmed_recently(**member, now)
         };
         let members = &self.membership.members;
-        members.iter().filter(vouching).count() > members.len() / 2
+        members.iter().filter(confirmed).count() > members.len() / 2
     }
 
-    /// Whether `number` can no longer be missed: half or more of the members
-    /// of the configuration before it, and of its own, hold it. Any majority
-    /// has one of them. A majority here too would not be safer, and of two
-    /// members the one that is left could never write again.
+    /// Returns whether no daemon with standing can miss `number` for longer than
+    /// the bound: at least half of the members of its configuration, and of the
+    /// one before it, hold it, so every majority contains such a member.
     ///
-    /// A number below the one held here got that far before the next one was
-    /// written; one above is not known here. Holding does not age, so this
-    /// needs no time.
+    /// Requiring a majority here would be no safer, and of two members the one
+    /// that is left could never write again.
+    ///
+    /// A number below the one held here was stable before the next one was
+    /// written; a number above it is not known here. That a member holds a number
+    /// does not expire, so this needs no time.
     pub fn is_stable(&self, number: Number) -> bool {
         if number != self.number() {
             return number < self.number();
@@ -201,42 +214,44 @@
         self.membership.half_of_each(|member| self.member_holds(member, number))
     }
 
-    /// The number held here.
+    /// Returns the configuration number held here.
     pub fn number(&self) -> Number {
         self.membership.number
     }
 
-    /// Who counts under the number held here.
+    /// Returns the membership under the number held here.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// This daemon's own id, once the table has shown it.
+    /// Returns this daemon's own id, once the table has shown it.
     pub fn me(&self) -> Option<MemberId> {
         self.me
     }
 
-    /// Whether anything newer than the number held here is known to exist.
+    /// Returns whether a number newer than the one held here is known to exist.
     pub fn is_behind(&self) -> bool {
         let ahead = |peer: &Peer| peer.proof.is_ahead() || peer.held > self.number();
         self.table.is_ahead() || self.peers.values().any(ahead)
     }
 
-    /// Whether `member` has vouched lately: whom to rather ask.
+    /// Returns whether `member` has confirmed within the bound. Such members are
+    /// preferred as peers to pull from.
     pub fn confirmed_recently(&self, member: MemberId, now: Instant) -> bool {
         let fresh = |peer: &Peer| peer.proof.is_fresh(now, self.settings.bound);
         self.peers.get(&member).is_some_and(fresh)
     }
 
-    /// This daemon's own vouch, as of now. None before it has joined.
+    /// Returns this daemon's own confirmation, made now; `None` before it has
+    /// joined and once it is no longer a member.
     pub fn own_confirmation(&self) -> Option<Confirmation> {
         let number = self.number();
         let member = self.me.filter(|_| self.is_member())?;
         Some(Confirmation { member, number, held: number, age: Span::ZERO })
     }
 
-    /// What this daemon can say about every member: its own vouch and the
-    /// ones it knows of others, in the order of their ids.
+    /// Returns the confirmations that are no older than the bound, this daemon's
+    /// own included, ordered by member id.
     pub fn confirmations(&self, now: Instant) -> Vec<Confirmation> {
         let number = self.number();
         let known = self.peers.iter().filter_map(|(&member, peer)| {
@@ -246,17 +261,19 @@
             (age <= self.settings.bound).then_some(Confirmation { member, number, held, age })
         });
         let mut all: Vec<_> = known.chain(self.own_confirmation()).collect();
-        all.sort_unstable_by_key(|vouch| vouch.member);
+        all.sort_unstable_by_key(|confirmation| confirmation.member);
         all
     }
 
-    /// Whether `member` is known to hold the number held here, or has ended.
+    /// Returns whether `member` is known to hold the number held here, or to have
+    /// ended.
     pub fn holds_current(&self, member: MemberId) -> bool {
         self.member_holds(member, self.number())
     }
 
-    /// Other members that hold the number held here, but whose vouch is too
-    /// old to be passed on. That they hold it stays true all the same.
+    /// Returns the other members that hold the number held here but have not
+    /// confirmed within the bound. Their confirmations are too old to be passed
+    /// on, while the fact that they hold the number never expires.
     pub fn silent_holders(&self, now: Instant) -> impl Iterator<Item = MemberId> {
         let silent = move |(id, peer): &(&MemberId, &Peer)| {
             !peer.ended && peer.held >= self.number() && !self.confirmed_recently(**id, now)
@@ -264,7 +281,7 @@
         self.peers.iter().filter(silent).map(|(&member, _)| member)
     }
 
-    /// The members known to have ended.
+    /// Returns the members known to have ended.
     pub fn ended_members(&self) -> impl Iterator<Item = MemberId> {
         self.peers.iter().filter(|(_, peer)| peer.ended).map(|(&member, _)| member)
     }
--- a/kingcupbay_core/src/standing/proof.rs
+++ b/kingcupbay_core/src/standing/proof.rs
@@ -1,38 +1,39 @@
-//! The newest proof that one source gave.
+//! The newest proof of freshness from one source.
 
 use crate::{
     id::Number,
     time::{Instant, Span},
 };
 
-/// The newest proof of one source, table or member.
+/// The newest proof from one source: the table or a member.
 ///
-/// Invariants: `at` belongs to a statement that named nothing newer than the
-/// number held here; `ahead` names something newer.
+/// Invariants: the statement behind `at` named nothing newer than the number
+/// held here; the statement in `ahead` named something newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Proof {
-    /// The statement was made at this time or later.
+    /// Lower bound on the time at which the newest statement was made.
     at: Option<Instant>,
-    /// A statement that counts once that number is held here too. Without it a
-    /// daemon would have to ask again after each patch, and would refuse work
-    /// until the answer.
+    /// Statement that becomes a proof once its number is held here too. Without
+    /// it, the daemon would have to ask again after each patch and would refuse
+    /// work until the answer arrived.
     ahead: Option<(Number, Instant)>,
 }
 
 impl Proof {
-    /// A statement of `number`, made at `at` or later, while `mine` is held.
+    /// Records a statement of `number`, made at `at` or later, while `mine` is
+    /// held here.
     pub(super) fn record(&mut self, number: Number, at: Instant, mine: Number) {
         if number <= mine {
             self.at = self.at.max(Some(at));
             return;
         }
-        // A source's number never goes back, so the greatest number was said
-        // last, and no earlier than any other.
+        // A source's number never decreases, so the greatest number was stated
+        // last, no earlier than any other.
         let (known, since) = self.ahead.unwrap_or((number, at));
         self.ahead = Some((known.max(number), since.max(at)));
     }
 
-    /// `mine` is held from now on.
+    /// Moves to `mine`, the number held here from now on.
     pub(super) fn advance(&mut self, mine: Number) {
         if let Some((number, at)) = self.ahead
             && number <= mine
@@ -42,17 +43,17 @@
         }
     }
 
-    /// Whether the proof is no older than `bound`.
+    /// Returns whether the proof is no older than `bound`.
     pub(super) fn is_fresh(&self, now: Instant, bound: Span) -> bool {
         self.at.is_some_and(|at| now.since(at) <= bound)
     }
 
-    /// When the newest proof was made, at the earliest.
+    /// Returns a lower bound on the time at which the newest proof was made.
     pub(super) fn at(&self) -> Option<Instant> {
         self.at
     }
 
-    /// Whether the source knows something newer.
+    /// Returns whether the source knows a number newer than the one held here.
     pub(super) fn is_ahead(&self) -> bool {
         self.ahead.is_some()
     }
