--- a/kingcupbay_core/src/gossip/mod.rs
+++ b/kingcupbay_core/src/gossip/mod.rs
@@ -4,7 +4,7 @@
 //! patches that the puller lacks ([`message`]), the confirmations of the
 //! answerer and of the members it knows of, and the records that changed
 //! ([`record`]). The age of a confirmation counts from when the pull was sent,
-//! so clocks of different hosts are never compared.
+//! so the clocks of two hosts are never compared.
 //!
 //! A new number does not wait for the next period: a daemon that receives one
 //! pulls from a few peers at once, and a daemon that is pulled by a peer that
@@ -66,9 +66,9 @@
     }
 }
 
-/// One pull in this many, on average, picks among all members, so that a
-/// member without a recent confirmation is found again; the others pick among
-/// members that confirmed recently.
+/// One pull in ten, on average, picks among all members, so that a member
+/// without a recent confirmation is found again; the others pick among members
+/// that confirmed recently.
 const ANY_MEMBER_PERIOD: u64 = 10;
 
 /// Id of a pull, to match its answer.
--- a/kingcupbay_core/tests/claim.rs
+++ b/kingcupbay_core/tests/claim.rs
@@ -17,40 +17,42 @@
         table::{Read, TxnAnswer},
     },
 };
-use once::{KEY, Table, attempt, outcome, words};
+use once::{KEY, Table, attempt, describe, outcome};
 
-/// The steps of an attempt at which something may go wrong.
+/// Steps of an attempt at which a fault may occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     Claim,
-    /// Only after the claim's answer was lost.
+    /// Reached only after the claim's answer was lost.
     Read,
     Call,
     Outcome,
 }
 
-/// What goes wrong at one step. Between fault and resumption, a successor
-/// takes the upstream over and gets the caller's repeat.
+/// A fault at one step. After the fault, and before a late request arrives or a
+/// paused daemon resumes, a successor takes over the upstream and receives the
+/// caller's repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
-    /// The other side provably took nothing in.
+    /// The request provably had no effect.
     Refused,
-    /// It never arrives, and nobody can tell.
+    /// The request never arrives, which the attempt can't know.
     Lost,
-    /// It takes effect, and the answer is lost.
+    /// The request takes effect and its answer is lost.
     AnswerLost,
-    /// It arrives after the successor's attempt.
+    /// The request arrives after the successor's attempt.
     Late,
-    /// The daemon dies before it sends.
+    /// The daemon crashes before it sends.
     CrashBefore,
-    /// The daemon dies before the answer.
+    /// The daemon crashes before the answer arrives.
     CrashAfter,
     /// The daemon is paused before it sends, and resumes after the successor's
     /// attempt.
     PauseBefore,
-    /// The daemon is paused before the answer, and resumes later.
+    /// The daemon is paused before the answer arrives, and resumes after the
+    /// successor's attempt.
     PauseAfter,
-    /// The caller's deadline passes before the answer.
+    /// The caller's deadline passes before the answer arrives.
     Deadline,
 }
 
@@ -66,7 +68,7 @@
     Fault::Deadline,
 ];
 
-/// Table and service.
+/// The table and the service.
 #[derive(Default)]
 struct World {
     table: Table,
@@ -74,7 +76,7 @@
 }
 
 impl World {
-    /// What the other side makes of an action.
+    /// Applies an action to the table or the service and returns the answer.
     fn effect(&mut self, action: &Action) -> Event {
         match action {
             Action::Txn(txn) => Event::StoreAnswer(self.table.txn(txn)),
@@ -115,43 +117,44 @@
     }
 }
 
-/// An attempt with what it has yet to do.
+/// An attempt with its pending actions and its answer to the caller.
 struct Runner {
     claim: Claim,
     actions: Vec<Action>,
-    told: Option<Answer>,
+    answer: Option<Answer>,
 }
 
 impl Runner {
     fn start(index: usize, fencing: u64) -> Runner {
         let (claim, actions) = Claim::start(attempt(index, fencing));
-        Runner { claim, actions, told: None }
+        Runner { claim, actions, answer: None }
     }
 
     fn on(&mut self, event: Event) {
         self.actions.extend(self.claim.handle(event));
     }
 
-    /// The next action for table or service; answers are taken on the way.
+    /// Returns the next action for the table or the service, and stores answers to
+    /// the caller on the way.
     fn next(&mut self) -> Option<Action> {
         loop {
             match (!self.actions.is_empty()).then(|| self.actions.remove(0))? {
-                Action::Answer(answer) => assert!(self.told.replace(answer).is_none()),
+                Action::Answer(answer) => assert!(self.answer.replace(answer).is_none()),
                 action => return Some(action),
             }
         }
     }
 
-    /// Goes on to the end without a fault.
+    /// Runs the attempt to its end without a fault.
     fn finish(&mut self, world: &mut World) {
         while let Some(action) = self.next() {
             let event = world.effect(&action);
             self.on(event);
         }
-        assert!(self.claim.is_over() && self.told.is_some());
+        assert!(self.claim.is_over() && self.answer.is_some());
     }
 
-    /// Goes on until an action for `at`.
+    /// Runs the attempt until its next action belongs to step `at`.
     fn reach(&mut self, world: &mut World, at: Step) -> Action {
         loop {
             let action = self.next().expect("the step is reached");
@@ -167,14 +170,15 @@
 fn repeat(world: &mut World, index: usize, fencing: u64) -> String {
     let mut runner = Runner::start(index, fencing);
     runner.finish(world);
-    words(&runner.told.unwrap())
+    describe(&runner.answer.unwrap())
 }
 
-/// One line: the fault, what the first caller is told, what the successor
-/// tells the repeat, what a later repeat is told, and how often it ran.
+/// Runs one fault and describes it in a line: the first caller's answer, the
+/// successor's answer to the repeat, the answer to a later repeat, and how
+/// often the call ran.
 fn scenario(at: Step, fault: Fault) -> String {
     let mut world = World::default();
-    let fencing = world.table.fence();
+    let fencing = world.table.take_over();
     let mut first = Runner::start(0, fencing);
     if at == Step::Read {
         let claim = first.reach(&mut world, Step::Claim);
@@ -183,7 +187,7 @@
     }
     let action = first.reach(&mut world, at);
     let mut crashed = false;
-    let mut later = None;
+    let mut delayed = None;
     match fault {
         Fault::Refused => first.on(refused(&action)),
         Fault::Lost => first.on(lost(&action)),
@@ -198,7 +202,7 @@
             crashed = true;
         }
         Fault::PauseBefore => {}
-        Fault::PauseAfter => later = Some(world.effect(&action)),
+        Fault::PauseAfter => delayed = Some(world.effect(&action)),
         Fault::Deadline => {
             first.on(Event::Deadline);
             let event = world.effect(&action);
@@ -209,25 +213,25 @@
     if !crashed && !paused {
         first.finish(&mut world);
     }
-    let fencing = world.table.fence();
+    let fencing = world.table.take_over();
     let second = repeat(&mut world, 1, fencing);
     if fault == Fault::Late {
         world.effect(&action);
     }
     if paused {
-        let event = later.unwrap_or_else(|| world.effect(&action));
+        let event = delayed.unwrap_or_else(|| world.effect(&action));
         first.on(event);
         first.finish(&mut world);
     }
     let third = repeat(&mut world, 2, fencing);
-    let told = first.told.as_ref().map_or("nothing".to_owned(), words);
+    let answer = first.answer.as_ref().map_or("nothing".to_owned(), describe);
     assert!(world.runs <= 1, "{at:?} {fault:?} ran twice");
-    format!("{at:?} {fault:?}: {told} | {second} | {third} | ran {}", world.runs)
+    format!("{at:?} {fault:?}: {answer} | {second} | {third} | ran {}", world.runs)
 }
 
-/// A family books a table; something breaks at one step, and they press
-/// again. Whatever breaks, they are charged at most once, and "not run" is
-/// said only where it is so.
+/// A caller books a table, a fault occurs at one step, and the caller repeats
+/// the call. Whatever the fault, the booking must run at most once, and "not
+/// run" must be answered only if it is true.
 #[test]
 fn every_fault_at_every_step_runs_the_call_at_most_once() {
     let steps = [Step::Claim, Step::Read, Step::Call, Step::Outcome];
@@ -246,12 +250,12 @@
 }
 
 #[test]
-fn a_store_that_is_down_refuses_the_call_truly_with_when_to_come_back() {
+fn a_call_is_refused_as_not_run_with_a_retry_delay_while_the_store_is_down() {
     let (mut claim, _) = Claim::start(attempt(0, 1));
-    let told = failure(&claim.handle(Event::StoreRefused));
-    assert_eq!(told, (Code::StoreDown, Ran::NotRun, true));
-    // Down for good after a claim that may have arrived: still not run, since
-    // it is never sent.
+    let answer = failure(&claim.handle(Event::StoreRefused));
+    assert_eq!(answer, (Code::StoreDown, Ran::NotRun, true));
+    // The store stays down after a claim that may have arrived: still not run,
+    // since the call is never sent.
     let (mut claim, _) = Claim::start(attempt(0, 1));
     let mut actions = claim.handle(Event::StoreLost);
     while let [Action::Read(_)] = actions[..] {
@@ -262,9 +266,9 @@
 }
 
 #[test]
-fn a_key_used_for_another_request_is_told_apart() {
+fn a_key_reused_for_another_request_is_rejected() {
     let mut world = World::default();
-    let fencing = world.table.fence();
+    let fencing = world.table.take_over();
     assert_eq!(repeat(&mut world, 0, fencing), "execution 1");
     let mut other = attempt(1, fencing);
     other.digest = Digest::of(RouteId::from_raw(0), "book", b"seat 8");
@@ -276,7 +280,7 @@
 }
 
 #[test]
-fn digests_tell_route_path_and_body_apart() {
+fn digests_differ_by_route_path_and_body() {
     let (a, b) = (RouteId::from_raw(1), RouteId::from_raw(12));
     let digests = [
         Digest::of(a, "x", b"body"),
@@ -292,50 +296,50 @@
 }
 
 #[test]
-fn an_answer_too_long_for_a_row_is_given_once_and_then_said_to_have_run() {
+fn an_answer_too_long_for_a_row_is_returned_once_and_then_reported_as_run() {
     let mut world = World::default();
-    let fencing = world.table.fence();
+    let fencing = world.table.take_over();
     let mut first = Runner::start(0, fencing);
     first.reach(&mut world, Step::Call);
     let long = Outcome { status: 201, body: Some(vec![b'x'; MAX_BODY_BYTES + 1]) };
     first.on(Event::ServiceAnswered(long.clone()));
     first.finish(&mut world);
-    assert_eq!(first.told, Some(Answer::Outcome { outcome: long, replayed: false }));
+    assert_eq!(first.answer, Some(Answer::Outcome { outcome: long, replayed: false }));
     assert_eq!(repeat(&mut world, 1, fencing), "upstream_failed ran");
 }
 
 #[test]
-fn a_row_that_cannot_be_read_counts_as_claimed() {
+fn an_unreadable_row_counts_as_claimed() {
     let mut world = World::default();
-    let fencing = world.table.fence();
+    let fencing = world.table.take_over();
     world.table.set(KEY, "{\"state\":\"from a later release\"}");
     assert_eq!(repeat(&mut world, 0, fencing), "outcome_unknown unknown");
     assert_eq!(world.runs, 0);
 }
 
-/// The connection breaks after part of the call went out, and the shell then
-/// reports that nothing left. Freeing the key would run the call again.
+/// The connection breaks after part of the call was sent, and the shell then
+/// reports that nothing was sent. Freeing the key would run the call again.
 #[test]
-fn never_left_is_not_believed_after_a_byte_has_left() {
+fn not_sent_is_ignored_after_a_byte_was_sent() {
     let mut world = World::default();
-    let fencing = world.table.fence();
+    let fencing = world.table.take_over();
     let mut first = Runner::start(0, fencing);
     first.reach(&mut world, Step::Call);
     first.on(Event::Sent);
     first.on(Event::NotSent);
     first.finish(&mut world);
-    assert_eq!(words(&first.told.unwrap()), "outcome_unknown unknown");
+    assert_eq!(describe(&first.answer.unwrap()), "outcome_unknown unknown");
     let record: Record = serde_json::from_str(&world.table.rows[KEY].value).unwrap();
     assert_eq!((record.state, record.fencing), (State::Claimed, fencing));
 }
 
-/// A claim lost on its way arrives after all, while the table refuses its
-/// repeat. Given up then, nobody would ever run the call, and every repeat
-/// would be told that its outcome is unknown.
+/// A claim whose answer was lost takes effect late, while the table refuses the
+/// repeated claim. If the attempt gave up then, nobody would ever run the call,
+/// and every repeat would be answered with an unknown outcome.
 #[test]
 fn a_claim_in_doubt_is_read_again_after_a_refusal() {
     let mut world = World::default();
-    let fencing = world.table.fence();
+    let fencing = world.table.take_over();
     let mut first = Runner::start(0, fencing);
     let claim = first.next().unwrap();
     first.on(Event::StoreLost);
@@ -347,11 +351,11 @@
     world.effect(&claim);
     first.on(Event::StoreRefused);
     first.finish(&mut world);
-    assert_eq!(words(&first.told.unwrap()), "execution 1");
+    assert_eq!(describe(&first.answer.unwrap()), "execution 1");
 }
 
-/// A line for each action, as a reader of the golden file wants it.
-fn told(who: &str, action: &Action) -> String {
+/// Describes an action in a line of the golden file.
+fn describe_action(who: &str, action: &Action) -> String {
     match action {
         Action::Txn(txn) => {
             let value = txn.writes[0].value.as_ref().unwrap();
@@ -368,11 +372,11 @@
         }
         Action::Read(_) => format!("{who} -> table: read {KEY}"),
         Action::Call => format!("{who} -> service: call"),
-        Action::Answer(answer) => format!("{who} -> caller: {}", words(answer)),
+        Action::Answer(answer) => format!("{who} -> caller: {}", describe(answer)),
     }
 }
 
-fn happened(who: &str, event: &Event) -> String {
+fn describe_event(who: &str, event: &Event) -> String {
     let what = match event {
         Event::StoreAnswer(TxnAnswer::Committed) => "table: written".to_owned(),
         Event::StoreAnswer(TxnAnswer::Conflict(rows)) => {
@@ -391,18 +395,18 @@
     format!("{who} <- {what}")
 }
 
-/// The claim is written and its answer lost; the caller presses again while
-/// the call runs, and once more after it.
+/// The claim is written and its answer lost. The caller repeats the call while
+/// it runs and once more after it.
 #[test]
 fn session_with_a_lost_claim() {
     let mut world = World::default();
-    let fencing = world.table.fence();
+    let fencing = world.table.take_over();
     let mut lines = Vec::new();
     let mut go =
         |world: &mut World, runner: &mut Runner, who: &str, lose: bool, until: Option<Step>| {
             while !runner.actions.is_empty() {
                 let action = runner.actions.remove(0);
-                lines.push(told(who, &action));
+                lines.push(describe_action(who, &action));
                 if matches!(action, Action::Answer(_)) {
                     continue;
                 }
@@ -410,7 +414,7 @@
                 if lose && step(&action) == Step::Claim {
                     event = Event::StoreLost;
                 }
-                lines.push(happened(who, &event));
+                lines.push(describe_event(who, &event));
                 runner.on(event);
                 if until.is_some() && runner.actions.first().map(step) == until {
                     return;
@@ -428,7 +432,7 @@
     assert_eq!(world.runs, 1);
 }
 
-/// `KINGCUPBAY_BLESS=1` writes the golden file anew.
+/// Compares with a golden file; `KINGCUPBAY_BLESS=1` rewrites the file.
 fn compare(name: &str, found: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
     if std::env::var_os("KINGCUPBAY_BLESS").is_some() {
--- a/kingcupbay_core/tests/gossip.rs
+++ b/kingcupbay_core/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: what daemons tell each other reaches everyone and never lies.
+//! Gossip: information reaches all members, and ages never shrink on the way.
 
 #![allow(clippy::unwrap_used)]
 
@@ -21,18 +21,18 @@
 };
 use quickcheck::{Arbitrary, Gen};
 
-/// A daemon with its configuration, as the shell keeps them together.
+/// A daemon with its configuration, which the shell keeps beside it.
 struct Daemon {
     gossip: Gossip,
     config: Config,
-    /// Members whose snapshot it was told to fetch.
+    /// Members whose snapshot the daemon was to fetch.
     fetches: Vec<MemberId>,
 }
 
-/// Daemons that answer each other at once, unless one is cut off.
+/// Daemons that answer each other at once, unless they are isolated.
 struct Fleet {
     daemons: Vec<Daemon>,
-    cut: BTreeSet<usize>,
+    isolated: BTreeSet<usize>,
     now: Instant,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl Daemon {
-    /// Applies a patch as read from the table.
+    /// Applies a patch as if read from the table.
     fn apply(&mut self, patch: &Patch) {
         let next = self.config.patched(patch).unwrap();
         self.gossip.add_patch(patch.clone(), &next);
@@ -71,7 +71,7 @@
 }
 
 impl Fleet {
-    /// `count` members that have all read the same table.
+    /// Creates `count` members that have all read the same table.
     fn new(count: usize) -> Fleet {
         let mut daemons: Vec<_> = (0..count).map(|host| daemon(host as u64 + 1)).collect();
         let now = Instant::from_micros(1_000_000);
@@ -81,13 +81,13 @@
             }
             let (head, config) = (daemon.number(), daemon.config.clone());
             for action in daemon.gossip.handle_head_read(now, now, head, &config) {
-                // Nobody else has started yet.
+                // No peer has started yet.
                 if let Action::SendPull { id, .. } = action {
                     daemon.gossip.forget_pull(id);
                 }
             }
         }
-        Fleet { daemons, cut: BTreeSet::new(), now }
+        Fleet { daemons, isolated: BTreeSet::new(), now }
     }
 
     fn carry_out(&mut self, at: usize, actions: Vec<Action>) {
@@ -103,14 +103,17 @@
 
     fn deliver(&mut self, at: usize, id: PullId, to: MemberId, pull: &Pull) {
         let peer = to.raw() as usize;
-        if self.cut.contains(&at) || self.cut.contains(&peer) || peer >= self.daemons.len() {
+        if self.isolated.contains(&at)
+            || self.isolated.contains(&peer)
+            || peer >= self.daemons.len()
+        {
             return self.daemons[at].gossip.forget_pull(id);
         }
-        let (answer, back) = self.daemons[peer].gossip.answer_pull(self.now, pull);
+        let (answer, peer_actions) = self.daemons[peer].gossip.answer_pull(self.now, pull);
         let config = self.daemons[at].config.clone();
         let actions = self.daemons[at].gossip.handle_answer(self.now, id, answer, &config);
         self.carry_out(at, actions);
-        self.carry_out(peer, back);
+        self.carry_out(peer, peer_actions);
     }
 
     fn run(&mut self, millis: u64) {
@@ -123,33 +126,35 @@
         }
     }
 
-    fn standing(&self) -> usize {
-        let holds = |daemon: &&Daemon| daemon.gossip.standing().may_act(self.now);
-        self.daemons.iter().filter(holds).count()
+    fn count_standing(&self) -> usize {
+        let may_act = |daemon: &&Daemon| daemon.gossip.standing().may_act(self.now);
+        self.daemons.iter().filter(may_act).count()
     }
 }
 
-/// The table is gone for ten minutes for everyone; nobody may stop serving.
+/// The table is unavailable to every daemon for ten minutes; every member must
+/// go on serving.
 #[test]
-fn everyone_stands_through_a_table_outage() {
+fn all_members_keep_standing_through_a_table_outage() {
     let mut fleet = Fleet::new(9);
     fleet.run(5_000);
     for _ in 0..120 {
         fleet.run(5_000);
-        assert_eq!(fleet.standing(), 9);
+        assert_eq!(fleet.count_standing(), 9);
     }
-    fleet.cut.extend([0, 1]);
+    fleet.isolated.extend([0, 1]);
     fleet.run(4_000);
-    assert_eq!(fleet.standing(), 7, "two that are cut off stop, the others go on");
+    assert_eq!(fleet.count_standing(), 7, "two that are cut off stop, the others go on");
 }
 
-/// An operator's patch reaches everyone within a second, through two members
-/// that do not answer, and its writer learns that it did.
+/// An operator's patch reaches all connected members within a second, although
+/// two members do not answer, and its writer learns that half of the members
+/// hold it.
 #[test]
 fn a_patch_reaches_everyone_and_its_writer_knows() {
     let mut fleet = Fleet::new(26);
     fleet.run(3_000);
-    fleet.cut.extend([7, 8]);
+    fleet.isolated.extend([7, 8]);
     let patch = patch(fleet.daemons[0].number(), vec![]);
     fleet.daemons[0].apply(&patch);
     let number = fleet.daemons[0].number();
@@ -165,10 +170,10 @@
     assert_eq!(known, 24);
 }
 
-/// An entry restarts empty and answers its peers at once. What they took for
-/// the old one's word must not become the new one's.
+/// An entry restarts empty and answers its peers at once. The confirmations of
+/// its former incarnation must not count for the new one.
 #[test]
-fn a_daemon_restarted_empty_vouches_for_nothing() {
+fn a_daemon_restarted_empty_confirms_nothing() {
     let mut fleet = Fleet::new(3);
     fleet.run(1_000);
     fleet.daemons[1] = daemon(77);
@@ -180,12 +185,12 @@
     fleet.run(4_000);
     let ended: Vec<_> = fleet.daemons[0].gossip.standing().ended_members().collect();
     assert_eq!(ended, [MemberId::from_raw(1)]);
-    assert_eq!(fleet.standing(), 2, "two of three still vouch for each other");
+    assert_eq!(fleet.count_standing(), 2, "two of three still confirm each other");
 }
 
-/// An answer arrives a second time, or after its pull was given up.
+/// An answer arrives a second time, after its pull is no longer pending.
 #[test]
-fn a_doubled_or_late_answer_changes_nothing() {
+fn a_duplicate_or_late_answer_changes_nothing() {
     let mut fleet = Fleet::new(3);
     let pulls: Vec<_> = fleet.daemons[0].gossip.pull_missing(fleet.now);
     let Action::SendPull { id, pull, .. } = pulls[0].clone() else { panic!() };
@@ -200,14 +205,14 @@
 }
 
 #[test]
-fn a_daemon_too_far_behind_fetches_the_whole() {
+fn a_daemon_too_far_behind_fetches_a_snapshot() {
     let mut fleet = Fleet::new(3);
-    fleet.cut.insert(2);
+    fleet.isolated.insert(2);
     for _ in 0..70 {
         let patch = patch(fleet.daemons[0].number(), vec![]);
         (0..2).for_each(|at| fleet.daemons[at].apply(&patch));
     }
-    fleet.cut.clear();
+    fleet.isolated.clear();
     fleet.run(500);
     assert!(!fleet.daemons[2].fetches.is_empty());
     let Snapshot { config, before } = fleet.daemons[0].gossip.snapshot(&fleet.daemons[0].config);
@@ -219,7 +224,7 @@
 }
 
 #[test]
-fn only_records_that_changed_travel() {
+fn only_changed_records_are_sent() {
     let mut fleet = Fleet::new(5);
     fleet.daemons[3].gossip.records_mut().publish(Topic::Load, "busy".into());
     fleet.run(10_000);
@@ -232,25 +237,25 @@
         fleet.now = fleet.now + Span::from_millis(250);
         fleet.daemons[0].gossip.tick(fleet.now)
     });
-    let asked = actions.filter_map(|action| match action {
+    let pulls = actions.filter_map(|action| match action {
         Action::SendPull { pull, .. } => pull.seen.is_some().then_some(pull),
         _ => None,
     });
-    let asked: Vec<_> = asked.collect();
-    assert!(!asked.is_empty());
-    for pull in asked {
+    let pulls: Vec<_> = pulls.collect();
+    assert!(!pulls.is_empty());
+    for pull in pulls {
         assert_eq!(fleet.daemons[3].gossip.answer_pull(fleet.now, &pull).0.records, []);
     }
 }
 
-/// Whatever ages and gaps between ids: none gets younger on the way, and who
-/// holds the number is told exactly.
+/// For any ages and any gaps between ids: packing never lowers an age by
+/// rounding, and preserves exactly which members hold the number.
 #[test]
-fn vouches_survive_packing_and_never_get_younger() {
+fn packing_keeps_confirmations_and_never_lowers_their_age() {
     let mut random = Gen::from_size_and_seed(200, 7);
     for _ in 0..500 {
         let ids = BTreeSet::<u16>::arbitrary(&mut random);
-        let vouches: Vec<_> = ids
+        let confirmations: Vec<_> = ids
             .into_iter()
             .map(|raw| Confirmation {
                 member: MemberId::from_raw(raw.into()),
@@ -259,28 +264,28 @@
                 age: Span::from_micros((u32::arbitrary(&mut random) % 6_000_000).into()),
             })
             .collect();
-        let (holding, behind) = pack(Number(9), &vouches);
-        let mut back = unpack(Number(9), &holding, &behind);
-        back.sort_by_key(|vouch| vouch.member);
-        assert_eq!(back.len(), vouches.len());
-        for (was, is) in vouches.iter().zip(&back) {
-            assert_eq!(was.member, is.member);
-            assert!(is.age >= was.age && is.age < was.age + AGE_UNIT);
-            assert_eq!(is.held, if was.held == Number(9) { Number(9) } else { Number(0) });
+        let (holding, behind) = pack(Number(9), &confirmations);
+        let mut unpacked = unpack(Number(9), &holding, &behind);
+        unpacked.sort_by_key(|confirmation| confirmation.member);
+        assert_eq!(unpacked.len(), confirmations.len());
+        for (before, after) in confirmations.iter().zip(&unpacked) {
+            assert_eq!(before.member, after.member);
+            assert!(after.age >= before.age && after.age < before.age + AGE_UNIT);
+            assert_eq!(after.held, if before.held == Number(9) { Number(9) } else { Number(0) });
         }
     }
 }
 
 #[test]
-fn nonsense_in_an_answer_is_survived() {
+fn malformed_runs_in_an_answer_prove_nothing() {
     let run = |gap, ages: &'static [u8]| Run { gap, ages: ages.into() };
-    let nonsense = [
+    let malformed = [
         vec![run(u32::MAX, &[1])],
         vec![run(u32::MAX, &[0, 0, 0])],
         vec![run(0, &[]), run(1, &[0])],
         vec![run(u32::MAX - 1, &[0]), run(7, &[0])],
     ];
-    for holding in nonsense {
+    for holding in malformed {
         let mut fleet = Fleet::new(3);
         let pulls = fleet.daemons[0].gossip.pull_missing(fleet.now);
         let Action::SendPull { id, .. } = pulls[0] else { panic!() };
--- a/kingcupbay_core/tests/once/mod.rs
+++ b/kingcupbay_core/tests/once/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of once-only calls share: a table, attempts, short texts.
+//! Shared by the tests of once-only calls: a table, attempts and short texts.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +11,13 @@
     wire::table::{Condition, Row, Txn, TxnAnswer},
 };
 
-/// The row that every attempt claims.
+/// Key of the row that every attempt claims.
 pub(crate) const KEY: &str = "claim/0/seat-7";
 
-/// The row of the fencing number of the upstream that all attempts share.
+/// Key of the row of the upstream's fencing number, shared by all attempts.
 pub(crate) const FENCE: &str = "fence/desk";
 
-/// The table, after the platform's contract.
+/// In-memory table with the semantics of the platform's table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Table {
     pub(crate) rows: BTreeMap<String, Row>,
@@ -47,14 +47,14 @@
         self.rows.insert(key.to_owned(), row);
     }
 
-    /// A daemon takes over the upstream; its fencing number.
-    pub(crate) fn fence(&mut self) -> u64 {
+    /// Lets a daemon take over the upstream; returns its fencing number.
+    pub(crate) fn take_over(&mut self) -> u64 {
         self.set(FENCE, "");
         self.rows[FENCE].revision
     }
 }
 
-/// Attempt number `index` by the daemon with this fencing number.
+/// Returns attempt number `index`, made by the daemon with this fencing number.
 pub(crate) fn attempt(index: usize, fencing: u64) -> Attempt {
     Attempt {
         key: KEY.to_owned(),
@@ -65,13 +65,13 @@
     }
 }
 
-/// The answer of the service's execution number `execution`.
+/// Returns the service's answer to execution number `execution`.
 pub(crate) fn outcome(execution: usize) -> Outcome {
     Outcome { status: 200, body: Some(format!("execution {execution}").into_bytes()) }
 }
 
-/// An answer in a few words.
-pub(crate) fn words(answer: &Answer) -> String {
+/// Formats an answer as a short text.
+pub(crate) fn describe(answer: &Answer) -> String {
     match answer {
         Answer::Outcome { outcome, replayed } => {
             let body = outcome.body.clone().unwrap_or_default();
--- a/kingcupbay_core/tests/spec_claim.rs
+++ b/kingcupbay_core/tests/spec_claim.rs
@@ -1,9 +1,9 @@
-//! Specification of once-only calls, explored over the core's own code.
+//! Model check of once-only calls over the core's own code.
 //!
-//! Attempts at one key, a table whose answers get lost and whose writes come
-//! late, a service that counts, crashes at any step. A breadth-first search
-//! visits every state within the bounds; a shortest path to a bad state is
-//! printed as a trace.
+//! The model has attempts at one key, a table whose answers get lost and whose
+//! writes arrive late, a service that counts executions, and crashes at any
+//! step. A breadth-first search visits every state within the bounds and prints
+//! a shortest path to a violation as a trace.
 
 #![allow(clippy::unwrap_used)]
 
@@ -22,31 +22,31 @@
         table::{Txn, TxnAnswer},
     },
 };
-use once::{FENCE, KEY, Table, attempt, outcome, words};
+use once::{FENCE, KEY, Table, attempt, describe, outcome};
 use pathfinding::prelude::bfs;
 
-const TWICE: &str = "the call ran twice";
-const CHANGED: &str = "a recorded outcome changed";
-const FALSE: &str = "told not_run, but it ran";
-const INVENTED: &str = "told an outcome that never was";
-const ANY: &[&str] = &[TWICE, CHANGED, FALSE, INVENTED];
+const RAN_TWICE: &str = "the call ran twice";
+const OUTCOME_CHANGED: &str = "a recorded outcome changed";
+const FALSE_NOT_RUN: &str = "answered not_run, but it ran";
+const INVENTED_OUTCOME: &str = "answered with an outcome that the service never gave";
+const ALL_VIOLATIONS: &[&str] = &[RAN_TWICE, OUTCOME_CHANGED, FALSE_NOT_RUN, INVENTED_OUTCOME];
 
-/// A guard taken out of the protocol.
+/// A fault added to the protocol by removing one of its guards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
     /// The call is sent before the claim is confirmed.
     SendEarly,
-    /// A lost claim counts as not claimed: the row is removed and claimed
-    /// again for a new attempt.
+    /// A claim whose answer was lost counts as not claimed: the row is removed and
+    /// claimed again for a new attempt.
     ClaimAgain,
-    /// A claim without an outcome counts as not run.
-    TellNotRun,
+    /// A claim without an outcome is reported as not run.
+    ReportNotRun,
     /// Releasing a claim removes its row.
     RemoveRow,
 }
 
-/// How much may happen.
+/// Bounds of the search.
 #[derive(Clone, Copy)]
 struct Bounds {
     attempts: usize,
@@ -58,7 +58,7 @@
 struct Actor {
     claim: Claim,
     pending: Option<Action>,
-    told: Option<Answer>,
+    answer: Option<Answer>,
     alive: bool,
     late: bool,
 }
@@ -67,18 +67,18 @@
 struct World {
     table: Table,
     actors: Vec<Actor>,
-    /// Transactions that left and have not arrived.
+    /// Transactions that were sent and have not arrived.
     txns: Vec<Txn>,
-    /// Calls that left and have not arrived, by their attempt.
+    /// Calls that were sent and have not arrived, by their attempt.
     calls: Vec<usize>,
-    /// Executions by attempt.
+    /// Number of executions by attempt.
     runs: Vec<usize>,
     faults: u32,
     recorded: Option<String>,
     changed: bool,
 }
 
-/// A state and the step that led there; only the state counts.
+/// A state and the step that led to it. Equality and hash ignore the step.
 #[derive(Clone)]
 struct State {
     world: World,
@@ -104,7 +104,7 @@
     fn then(&self, step: String, change: impl FnOnce(&mut World)) -> State {
         let mut world = self.clone();
         change(&mut world);
-        world.watch();
+        world.check_recorded();
         world.state(step)
     }
 
@@ -113,8 +113,8 @@
         State { world: self, step, identity }
     }
 
-    /// Notes a recorded outcome, and whether one has changed or gone.
-    fn watch(&mut self) {
+    /// Stores the recorded outcome, and whether it has changed or disappeared.
+    fn check_recorded(&mut self) {
         let value = self.table.rows.get(KEY).map(|row| row.value.clone());
         let value = value.filter(|value| value.contains("\"done\""));
         match &self.recorded {
@@ -125,11 +125,12 @@
 
     fn start(&mut self, successor: bool, mutation: Mutation) {
         let index = self.actors.len();
-        let fencing = if successor { self.table.fence() } else { self.table.rows[FENCE].revision };
+        let fencing =
+            if successor { self.table.take_over() } else { self.table.rows[FENCE].revision };
         let (claim, actions) = Claim::start(attempt(index, fencing));
         self.runs.push(0);
-        let told = None;
-        self.actors.push(Actor { claim, pending: None, told, alive: true, late: false });
+        let answer = None;
+        self.actors.push(Actor { claim, pending: None, answer, alive: true, late: false });
         self.carry_out(index, actions, mutation);
     }
 
@@ -141,7 +142,7 @@
     fn carry_out(&mut self, index: usize, actions: Vec<Action>, mutation: Mutation) {
         for action in actions {
             match action {
-                Action::Answer(answer) => self.tell(index, answer, mutation),
+                Action::Answer(answer) => self.answer_caller(index, answer, mutation),
                 Action::Txn(txn) if mutation == Mutation::SendEarly && claims(&txn) => {
                     self.txns.push(txn);
                     self.on(index, Event::StoreAnswer(TxnAnswer::Committed), mutation);
@@ -155,15 +156,15 @@
         }
     }
 
-    fn tell(&mut self, index: usize, mut answer: Answer, mutation: Mutation) {
+    fn answer_caller(&mut self, index: usize, mut answer: Answer, mutation: Mutation) {
         if let Answer::Failure(failure) = &mut answer
-            && mutation == Mutation::TellNotRun
+            && mutation == Mutation::ReportNotRun
             && failure.code == Code::OutcomeUnknown
         {
             failure.ran = Ran::NotRun;
         }
-        assert!(self.actors[index].told.is_none(), "a caller is told once");
-        self.actors[index].told = Some(answer);
+        assert!(self.actors[index].answer.is_none(), "a caller is answered once");
+        self.actors[index].answer = Some(answer);
     }
 
     fn run(&mut self, index: usize) -> usize {
@@ -175,22 +176,22 @@
         self.faults += 1;
     }
 
-    /// What is wrong here.
+    /// Returns the violations in this state.
     fn violations(&self) -> Vec<&'static str> {
         let mut found = Vec::new();
         if self.runs.iter().sum::<usize>() > 1 {
-            found.push(TWICE);
+            found.push(RAN_TWICE);
         }
         if self.changed {
-            found.push(CHANGED);
+            found.push(OUTCOME_CHANGED);
         }
         for (actor, &runs) in self.actors.iter().zip(&self.runs) {
-            match &actor.told {
+            match &actor.answer {
                 Some(Answer::Failure(failure)) if failure.ran == Ran::NotRun && runs > 0 => {
-                    found.push(FALSE);
+                    found.push(FALSE_NOT_RUN);
                 }
-                Some(Answer::Outcome { outcome: told, .. }) if *told != outcome(1) => {
-                    found.push(INVENTED);
+                Some(Answer::Outcome { outcome: answered, .. }) if *answered != outcome(1) => {
+                    found.push(INVENTED_OUTCOME);
                 }
                 _ => {}
             }
@@ -215,26 +216,28 @@
     }
 }
 
-/// Every step that may come next.
+/// Returns every state that may come next.
 fn steps(world: &World, bounds: Bounds) -> Vec<State> {
     let mut next = Vec::new();
     let index = world.actors.len();
     if index < bounds.attempts {
         let who = index + 1;
-        next.push(world.then(format!("{who}: attempts"), |w| w.start(false, bounds.mutation)));
+        next.push(
+            world.then(format!("{who}: starts an attempt"), |w| w.start(false, bounds.mutation)),
+        );
         if index > 0 {
-            let step = format!("{who}: takes the upstream over and attempts");
+            let step = format!("{who}: takes over the upstream and starts an attempt");
             next.push(world.then(step, |w| w.start(true, bounds.mutation)));
         }
     }
     for (at, txn) in world.txns.iter().enumerate() {
-        next.push(world.then(format!("a {} comes late", name(txn)), |w| {
+        next.push(world.then(format!("a {} arrives late", name(txn)), |w| {
             let txn = w.txns.remove(at);
             w.table.txn(&txn);
         }));
     }
     for (at, index) in world.calls.iter().enumerate() {
-        next.push(world.then(format!("{}: its call comes late", index + 1), |w| {
+        next.push(world.then(format!("{}: its call arrives late", index + 1), |w| {
             let index = w.calls.remove(at);
             w.run(index);
         }));
@@ -274,7 +277,7 @@
                     w.table.txn(&txn);
                     lost(w, index, &txn, mutation);
                 }));
-                next.push(world.then(format!("{who}: {what} lost on its way"), |w| {
+                next.push(world.then(format!("{who}: {what} delayed, answer lost"), |w| {
                     w.fault();
                     take(w);
                     w.txns.push(txn.clone());
@@ -310,13 +313,13 @@
                     w.run(index);
                     w.on(index, Event::ServiceLost, mutation);
                 }));
-                next.push(world.then(format!("{who}: call lost on its way"), |w| {
+                next.push(world.then(format!("{who}: call delayed, answer lost"), |w| {
                     w.fault();
                     take(w);
                     w.calls.push(index);
                     w.on(index, Event::ServiceLost, mutation);
                 }));
-                next.push(world.then(format!("{who}: call never left"), |w| {
+                next.push(world.then(format!("{who}: call was never sent"), |w| {
                     w.fault();
                     take(w);
                     w.on(index, Event::NotSent, mutation);
@@ -325,7 +328,7 @@
         }
         Some(Action::Answer(_)) | None => {}
     }
-    if faults && !actor.late && actor.told.is_none() {
+    if faults && !actor.late && actor.answer.is_none() {
         next.push(world.then(format!("{who}: its deadline passes"), |w| {
             w.fault();
             w.actors[index].late = true;
@@ -336,7 +339,7 @@
         next.push(world.then(format!("{who}: crashes"), |w| {
             w.fault();
             w.actors[index].alive = false;
-            // What it had sent may still arrive.
+            // The request that it had sent may still arrive.
             match take(w) {
                 Some(Action::Txn(txn)) => w.txns.push(txn),
                 Some(Action::Call) => w.calls.push(index),
@@ -357,52 +360,52 @@
     world.on(index, Event::StoreLost, mutation);
 }
 
-struct Found {
+struct Search {
     states: usize,
     trace: Option<Vec<String>>,
-    /// Answers seen, in few words.
-    told: BTreeSet<String>,
+    /// Short texts of all answers to callers in the explored states.
+    answers: BTreeSet<String>,
 }
 
-/// Searches for a state in which one of `wanted` is true.
-fn explore(attempts: usize, faults: u32, mutation: Mutation, wanted: &[&str]) -> Found {
+/// Searches for a state with one of the violations in `wanted`.
+fn explore(attempts: usize, faults: u32, mutation: Mutation, wanted: &[&str]) -> Search {
     let bounds = Bounds { attempts, faults, mutation };
     let mut world = World::default();
-    world.table.fence();
+    world.table.take_over();
     let states = Cell::new(0);
-    let mut told = BTreeSet::new();
+    let mut answers = BTreeSet::new();
     let path = bfs(
         &world.state("start".to_owned()),
         |state| {
             states.set(states.get() + 1);
-            let answers = state.world.actors.iter().filter_map(|actor| actor.told.as_ref());
-            told.extend(answers.map(words));
+            let given = state.world.actors.iter().filter_map(|actor| actor.answer.as_ref());
+            answers.extend(given.map(describe));
             steps(&state.world, bounds)
         },
         |state| state.world.violations().iter().any(|found| wanted.contains(found)),
     );
     let trace = path.map(|path| {
         let last = path.last().unwrap().world.violations().join(", ");
-        path.into_iter().map(|state| state.step).chain([format!("BAD: {last}")]).collect()
+        path.into_iter().map(|state| state.step).chain([format!("violation: {last}")]).collect()
     });
-    Found { states: states.get(), trace, told }
+    Search { states: states.get(), trace, answers }
 }
 
-/// Without the guard, a trace leads to `wanted`.
-fn seen_to_fail(attempts: usize, faults: u32, mutation: Mutation, wanted: &str) {
+/// Checks that `mutation` leads to the violation `wanted`; prints the trace.
+fn expect_violation(attempts: usize, faults: u32, mutation: Mutation, wanted: &str) {
     let found = explore(attempts, faults, mutation, &[wanted]);
-    let trace = found.trace.expect("the guard matters");
+    let trace = found.trace.expect("the mutation leads to the violation");
     println!("{mutation:?}, {} states:\n  {}", found.states, trace.join("\n  "));
 }
 
 #[test]
 fn no_call_runs_twice_and_not_run_is_true() {
     for (attempts, faults) in [(2, 4), (3, 2)] {
-        let found = explore(attempts, faults, Mutation::None, ANY);
+        let found = explore(attempts, faults, Mutation::None, ALL_VIOLATIONS);
         println!("{attempts} attempts, {faults} faults: {} states", found.states);
         assert_eq!(found.trace, None);
-        // The bounds reach every answer there is.
-        let told: Vec<_> = found.told.iter().map(String::as_str).collect();
+        // The bounds are large enough to reach every possible answer.
+        let answers: Vec<_> = found.answers.iter().map(String::as_str).collect();
         let all = [
             "deadline not_run",
             "execution 1",
@@ -412,37 +415,37 @@
             "store_down not_run",
             "upstream_failed not_run",
         ];
-        assert_eq!(told, all);
+        assert_eq!(answers, all);
     }
 }
 
-/// A family is charged twice: two clicks on "book" reach two daemons, and
-/// each sends the call while its claim is still under way.
+/// Two clicks on "book" reach two daemons. If each sends the call while its
+/// claim is still in progress, the caller is charged twice.
 #[test]
 fn sending_before_the_claim_is_confirmed_runs_twice() {
-    seen_to_fail(2, 0, Mutation::SendEarly, TWICE);
+    expect_violation(2, 0, Mutation::SendEarly, RAN_TWICE);
 }
 
-/// A booking runs; the repeat's claim gets no answer. Taking that for "not
-/// claimed" and clearing the row away removes the first claim, and the
-/// booking runs again.
+/// A booking runs, and the claim of a repeat gets no answer. Treating it as not
+/// claimed and removing the row removes the first claim, so the booking runs
+/// again.
 #[test]
 fn removing_a_claim_whose_answer_was_lost_runs_twice() {
-    seen_to_fail(2, 1, Mutation::ClaimAgain, TWICE);
-    seen_to_fail(2, 1, Mutation::ClaimAgain, CHANGED);
+    expect_violation(2, 1, Mutation::ClaimAgain, RAN_TWICE);
+    expect_violation(2, 1, Mutation::ClaimAgain, OUTCOME_CHANGED);
 }
 
-/// The service books the seat and its answer is lost. Told "not run", the
-/// family books another one.
+/// The service books the seat and its answer is lost. If "not run" is answered,
+/// the caller books another seat.
 #[test]
-fn telling_not_run_for_a_claim_without_outcome_is_false() {
-    seen_to_fail(1, 1, Mutation::TellNotRun, FALSE);
+fn reporting_not_run_for_a_claim_without_outcome_is_false() {
+    expect_violation(1, 1, Mutation::ReportNotRun, FALSE_NOT_RUN);
 }
 
-/// A claim is released by removing its row, and the removal comes a second
-/// time, late. By then the row is another attempt's, at the same revision
-/// again; its claim goes, and a third attempt runs the call once more.
+/// A claim is released by removing its row, and the removal arrives a second
+/// time, late. By then the row is another attempt's claim at the same revision,
+/// so that claim is removed and a third attempt runs the call again.
 #[test]
 fn releasing_a_claim_by_removing_its_row_runs_twice() {
-    seen_to_fail(3, 2, Mutation::RemoveRow, TWICE);
+    expect_violation(3, 2, Mutation::RemoveRow, RAN_TWICE);
 }
--- a/kingcupbay_core/tests/spec_standing/main.rs
+++ b/kingcupbay_core/tests/spec_standing/main.rs
@@ -1,17 +1,17 @@
-//! Specification of standing, explored breadth-first over the functions of
-//! the core that the daemons run.
+//! Model check of standing: a breadth-first search over the functions of the
+//! core that the daemons run.
 //!
-//! Three members, one operator's patch and the join of a member that
-//! restarted. Messages are lost (never delivered), doubled (answered and
-//! delivered again) and late (delivered after any number of ticks). A pause is
-//! any stretch of ticks in which a member takes no step; a table outage is any
-//! stretch in which no message reaches the table. Both are thus in every
-//! space; only ticks, sends and crashes are bounded.
+//! The model has three members, one operator's patch and the join of a member
+//! that restarted. Messages may be lost (never delivered), duplicated (answered
+//! once and delivered twice) or late (delivered after any number of ticks). A
+//! pause is any stretch of ticks in which a member takes no step, and a table
+//! outage any stretch in which no message reaches the table, so every search
+//! includes both; only ticks, messages and crashes are bounded.
 //!
-//! Symmetry: the members start alike, so the operator's patch always goes to
+//! Symmetry: all members start alike, so the operator's patch always goes to
 //! member 0, and only member 0 or 1 crashes.
 //!
-//! `SPEC_STANDING=deep` explores larger spaces, within minutes.
+//! `SPEC_STANDING=deep` explores larger state spaces, which takes minutes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -21,37 +21,39 @@
 
 use std::{cell::Cell, time::Instant};
 
-use model::{Bounds, Flaw, Node, Violation};
+use model::{Bounds, Mutation, Node, Violation};
 use pathfinding::prelude::bfs;
 
-/// The shortest way to a violation that `bad` picks; prints the size of the
-/// space it saw.
-fn explore(bounds: Bounds, flaw: Flaw, bad: fn(&Violation) -> bool) -> Option<Vec<Node>> {
+/// Returns the shortest path to a violation that `bad` selects, and prints the
+/// size of the explored space.
+fn explore(bounds: Bounds, mutation: Mutation, bad: fn(&Violation) -> bool) -> Option<Vec<Node>> {
     let (states, depth, start) = (Cell::new(0u64), Cell::new(0), Instant::now());
     let path = bfs(
         &Node::start(),
         |node| {
             states.set(states.get() + 1);
             depth.set(node.depth);
-            node.successors(bounds, flaw)
+            node.successors(bounds, mutation)
         },
         |node| node.state.violations().iter().any(bad),
     );
     let (states, depth, time) = (states.get(), depth.get(), start.elapsed().as_secs_f64());
-    println!("{flaw:?}, {bounds:?}: {states} states, depth {depth}, {time:.1} s");
+    println!("{mutation:?}, {bounds:?}: {states} states, depth {depth}, {time:.1} s");
     path
 }
 
-/// Panics with a readable trace when the space holds a violation.
+/// Panics with a readable trace if the space contains a violation.
 fn expect_none(bounds: Bounds) {
-    if let Some(path) = explore(bounds, Flaw::None, |_| true) {
+    if let Some(path) = explore(bounds, Mutation::None, |_| true) {
         panic!("{}", trace(&path));
     }
 }
 
-/// Panics unless `flaw` leads to a violation that `bad` picks; prints its trace.
-fn expect_some(bounds: Bounds, flaw: Flaw, bad: fn(&Violation) -> bool) {
-    let path = explore(bounds, flaw, bad).expect("the flaw shows within the bounds");
+/// Panics unless `mutation` leads to a violation that `bad` selects; prints its
+/// trace.
+fn expect_some(bounds: Bounds, mutation: Mutation, bad: fn(&Violation) -> bool) {
+    let path = explore(bounds, mutation, bad)
+        .expect("the mutation leads to a violation within the bounds");
     println!("{}", trace(&path));
 }
 
@@ -81,35 +83,38 @@
 
 #[test]
 fn with_answers_that_arrive_twice_nothing_acknowledged_is_missed() {
-    expect_none(Bounds::doubled());
+    expect_none(Bounds::duplicated());
 }
 
-/// Operators are told that a key is withdrawn while only the writer knows;
-/// the writer is cut off, and two entries that vouch for each other go on.
+/// An operator is told that a key is withdrawn while only the writer holds the
+/// patch. Then the writer is cut off, and two entries that confirm each other
+/// go on honouring the key.
 #[test]
 fn acknowledging_without_the_majority_is_found() {
     let minority = |found: &Violation| matches!(found, Violation::AckedByMinority(_));
-    expect_some(Bounds::no_crash(), Flaw::EarlyAck, minority);
-    expect_some(Bounds::no_crash(), Flaw::EarlyAck, stale);
+    expect_some(Bounds::no_crash(), Mutation::EarlyAck, minority);
+    expect_some(Bounds::no_crash(), Mutation::EarlyAck, stale);
 }
 
-/// The table answers a head read, a patch is acknowledged, and the answer
-/// arrives late: timed from there it hides the patch for a whole bound.
+/// The table answers a head read, then a patch is acknowledged, then the answer
+/// arrives. If the read's age counts from the arrival, it hides the patch for a
+/// whole bound.
 #[test]
 fn timing_a_read_from_its_answer_is_found() {
-    expect_some(Bounds::late_read(), Flaw::ReadFromAnswer, stale);
+    expect_some(Bounds::late_read(), Mutation::ReadFromAnswer, stale);
 }
 
-/// A patch is acknowledged on the word of a member that then restarts empty
-/// and vouches, under the same id, that it knows of no patch.
+/// A patch is acknowledged because a member holds it. That member then restarts
+/// empty and confirms, under the same id, that it knows of no patch.
 #[test]
-fn a_member_that_restarts_empty_and_vouches_is_found() {
-    expect_some(Bounds::restart_empty(), Flaw::RestartEmpty, stale);
+fn a_member_that_restarts_empty_and_confirms_is_found() {
+    expect_some(Bounds::restart_empty(), Mutation::RestartEmpty, stale);
 }
 
-/// A late answer from a peer that was behind is taken as it comes.
+/// A late answer from a peer that was behind takes the daemon back to an older
+/// configuration.
 #[test]
-fn taking_an_older_answer_is_found() {
+fn accepting_an_older_configuration_is_found() {
     let back = |found: &Violation| matches!(found, Violation::WentBack { .. });
-    expect_some(Bounds::no_crash(), Flaw::TakeOlder, back);
+    expect_some(Bounds::no_crash(), Mutation::AcceptOlder, back);
 }
--- a/kingcupbay_core/tests/spec_standing/model.rs
+++ b/kingcupbay_core/tests/spec_standing/model.rs
@@ -1,4 +1,4 @@
-//! What may happen next in a state, and what must never be.
+//! Steps that are enabled in a state, and violations of the specification.
 
 use std::{
     collections::BTreeSet,
@@ -18,23 +18,23 @@
     state::{BOUND, Daemon, MEMBERS, Pull, Read, State, Write, tick},
 };
 
-/// What keeps the space finite.
+/// Bounds that keep the state space finite.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bounds {
     ticks: u64,
     pulls: u8,
     reads: u8,
     crashes: u8,
-    /// Answers that arrive a second time.
-    doubles: u8,
+    /// Answers that are delivered a second time.
+    duplicates: u8,
 }
 
 impl Bounds {
-    const fn new(ticks: u64, pulls: u8, reads: u8, crashes: u8, doubles: u8) -> Bounds {
-        Bounds { ticks, pulls, reads, crashes, doubles }
+    const fn new(ticks: u64, pulls: u8, reads: u8, crashes: u8, duplicates: u8) -> Bounds {
+        Bounds { ticks, pulls, reads, crashes, duplicates }
     }
 
-    /// The shallow bounds, or the deep ones when the environment asks for them.
+    /// Returns `deep` if the environment asks for it, else `shallow`.
     fn choose(shallow: Bounds, deep: Bounds) -> Bounds {
         let asked = std::env::var("SPEC_STANDING").is_ok_and(|value| value == "deep");
         if asked { deep } else { shallow }
@@ -44,7 +44,7 @@
         Bounds::choose(Bounds::new(3, 2, 1, 0, 0), Bounds::new(3, 2, 2, 0, 0))
     }
 
-    pub(crate) fn doubled() -> Bounds {
+    pub(crate) fn duplicated() -> Bounds {
         Bounds::choose(Bounds::new(2, 1, 2, 0, 1), Bounds::new(2, 2, 1, 0, 1))
     }
 
@@ -52,7 +52,7 @@
         Bounds::choose(Bounds::new(2, 1, 2, 1, 0), Bounds::new(2, 2, 2, 1, 0))
     }
 
-    /// Just enough for a read that is overtaken by a patch.
+    /// The smallest bounds in which a patch is acknowledged during a read.
     pub(crate) fn late_read() -> Bounds {
         Bounds::new(2, 2, 1, 0, 0)
     }
@@ -62,53 +62,54 @@
     }
 }
 
-/// A mistake put into the daemons on purpose.
+/// A fault added to the daemons on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Flaw {
+pub(crate) enum Mutation {
     None,
-    /// Acknowledges when the table has taken the patch.
+    /// Acknowledges once the table has the patch.
     EarlyAck,
-    /// Times a read from when its answer came.
+    /// Counts a read's age from when its answer arrived.
     ReadFromAnswer,
     /// Restarts as the same member with the first configuration.
     RestartEmpty,
-    /// Takes whichever configuration comes.
-    TakeOlder,
+    /// Accepts every configuration that arrives, older ones too.
+    AcceptOlder,
 }
 
-/// What must never be.
+/// A violation of the specification.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Violation {
-    /// A daemon with standing holds less than what was acknowledged longer
-    /// ago than the bound.
+    /// A daemon with standing holds a lower number than one that was acknowledged
+    /// longer ago than the bound.
     ServedStale { host: usize, holds: Number, acked: Number },
-    /// A daemon's number went back.
+    /// A daemon's number decreased.
     WentBack { host: usize },
-    /// Acknowledged, but a majority does not hold it.
+    /// A number was acknowledged, but fewer than half of the members of its
+    /// configuration, or of the one before it, hold it.
     AckedByMinority(Number),
 }
 
-/// One step of one party.
+/// One step of the model.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Step {
     Tick,
     Crash(usize),
     AnswerPull(usize, usize),
-    TakePull(usize, Arrival),
+    ReceivePull(usize, Arrival),
     AnswerRead(usize),
-    TakeRead(usize, Arrival),
+    ReceiveRead(usize, Arrival),
     SendWrite(usize),
     AnswerWrite(usize),
-    TakeWrite(usize),
+    ReceiveWrite(usize),
     GiveUpWrite(usize),
     Resolve(usize),
     Acknowledge(usize),
 }
 
-/// Which copy of an answer arrives.
+/// Which copy of an answer is delivered.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Arrival {
-    /// Another one is still on its way.
+    /// A duplicate is still in transit.
     First,
     Last,
 }
@@ -116,8 +117,8 @@
 impl fmt::Display for Arrival {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Arrival::First => "which will come again",
-            Arrival::Last => "for the last time",
+            Arrival::First => "of which a duplicate follows",
+            Arrival::Last => "of which no duplicate follows",
         })
     }
 }
@@ -128,12 +129,16 @@
             Step::Tick => write!(f, "time passes"),
             Step::Crash(i) => write!(f, "daemon {i} restarts"),
             Step::AnswerPull(i, j) => write!(f, "daemon {i} pulls daemon {j}, which answers"),
-            Step::TakePull(i, arrival) => write!(f, "daemon {i} gets its pull's answer, {arrival}"),
+            Step::ReceivePull(i, arrival) => {
+                write!(f, "daemon {i} receives its pull's answer, {arrival}")
+            }
             Step::AnswerRead(i) => write!(f, "daemon {i} reads the table, which answers"),
-            Step::TakeRead(i, arrival) => write!(f, "daemon {i} gets its read's answer, {arrival}"),
+            Step::ReceiveRead(i, arrival) => {
+                write!(f, "daemon {i} receives its read's answer, {arrival}")
+            }
             Step::SendWrite(i) => write!(f, "daemon {i} writes its patch"),
             Step::AnswerWrite(i) => write!(f, "daemon {i}'s write reaches the table"),
-            Step::TakeWrite(i) => write!(f, "daemon {i} gets its write's answer"),
+            Step::ReceiveWrite(i) => write!(f, "daemon {i} receives its write's answer"),
             Step::GiveUpWrite(i) => write!(f, "daemon {i} gives up on its write's answer"),
             Step::Resolve(i) => write!(f, "daemon {i} reads whether its patch was taken"),
             Step::Acknowledge(i) => write!(f, "daemon {i} acknowledges its patch"),
@@ -141,7 +146,7 @@
     }
 }
 
-/// A state with the step that led to it, which does not tell states apart.
+/// A state with the step that led to it. Equality and hash ignore the step.
 #[derive(Clone, Debug)]
 pub(crate) struct Node {
     pub(crate) state: State,
@@ -168,29 +173,30 @@
         Node { state: State::start(), step: None, depth: 0 }
     }
 
-    pub(crate) fn successors(&self, bounds: Bounds, flaw: Flaw) -> Vec<Node> {
+    pub(crate) fn successors(&self, bounds: Bounds, mutation: Mutation) -> Vec<Node> {
         let mut nodes = Vec::new();
-        for step in steps(&self.state, bounds, flaw) {
+        for step in steps(&self.state, bounds, mutation) {
             let mut state = self.state.clone();
-            state.take(step, flaw);
+            state.apply(step, mutation);
             nodes.push(Node { state, step: Some(step), depth: self.depth + 1 });
         }
         nodes
     }
 }
 
-/// The steps that are possible in `state`.
-fn steps(state: &State, bounds: Bounds, flaw: Flaw) -> Vec<Step> {
+/// Returns the steps that are enabled in `state`.
+fn steps(state: &State, bounds: Bounds, mutation: Mutation) -> Vec<Step> {
     let mut steps = Vec::new();
     if state.now < bounds.ticks {
         steps.push(Step::Tick);
     }
-    let done = state.crashes == bounds.crashes && state.patches_done();
+    let done = state.crashes == bounds.crashes && state.no_patch_pending();
     for host in 0..MEMBERS {
         let daemon = state.daemon(host);
-        // No patch is left to come or to be acknowledged. What a daemon does
-        // that holds them all can neither put it in the wrong nor anyone else:
-        // who hears from it holds them all too.
+        // No patch is left to be written or acknowledged. The steps of a
+        // daemon that holds all of them can't lead to a violation, neither its
+        // own nor a peer's: a peer that receives its answer holds all of them
+        // too.
         if done && daemon.standing.number() == state.head() {
             continue;
         }
@@ -201,33 +207,33 @@
             let others = (0..MEMBERS).filter(|other| *other != host);
             steps.extend(others.map(|other| Step::AnswerPull(host, other)));
         }
-        let again = state.doubles < bounds.doubles;
+        let duplicate = state.duplicates < bounds.duplicates;
         if daemon.pull.is_some() {
-            steps.push(Step::TakePull(host, Arrival::Last));
-            steps.extend(again.then_some(Step::TakePull(host, Arrival::First)));
+            steps.push(Step::ReceivePull(host, Arrival::Last));
+            steps.extend(duplicate.then_some(Step::ReceivePull(host, Arrival::First)));
         }
         if state.reads < bounds.reads {
             steps.push(Step::AnswerRead(host));
         }
         if daemon.read.is_some() {
-            steps.push(Step::TakeRead(host, Arrival::Last));
-            steps.extend(again.then_some(Step::TakeRead(host, Arrival::First)));
+            steps.push(Step::ReceiveRead(host, Arrival::Last));
+            steps.extend(duplicate.then_some(Step::ReceiveRead(host, Arrival::First)));
         }
         if let Some(write) = &daemon.write {
             steps.push(if write.committed.is_some() {
-                Step::TakeWrite(host)
+                Step::ReceiveWrite(host)
             } else {
                 Step::AnswerWrite(host)
             });
             steps.push(Step::GiveUpWrite(host));
         }
-        steps.extend(acceptance_step(&daemon, host, flaw));
+        steps.extend(acceptance_step(&daemon, host, mutation));
     }
     steps
 }
 
-fn acceptance_step(daemon: &Daemon, host: usize, flaw: Flaw) -> Option<Step> {
-    let early = flaw == Flaw::EarlyAck;
+fn acceptance_step(daemon: &Daemon, host: usize, mutation: Mutation) -> Option<Step> {
+    let early = mutation == Mutation::EarlyAck;
     let acceptance = daemon.acceptance.as_ref()?;
     match acceptance.next_step(&daemon.standing) {
         Next::Write => Some(Step::SendWrite(host)),
@@ -240,20 +246,20 @@
     }
 }
 
-const POSSIBLE: &str = "the step is possible only then";
+const STEP_ENABLED: &str = "the step is enabled only in such states";
 
 impl State {
     fn update<R>(&mut self, host: usize, change: impl FnOnce(&mut Daemon) -> R) -> R {
         self.daemons[host].update(change)
     }
 
-    fn take(&mut self, step: Step, flaw: Flaw) {
+    fn apply(&mut self, step: Step, mutation: Mutation) {
         match step {
             Step::Tick => self.now += 1,
-            Step::Crash(host) => self.crash(host, flaw),
+            Step::Crash(host) => self.crash(host, mutation),
             Step::AnswerPull(host, to) => self.answer_pull(host, to),
-            Step::TakePull(host, arrival) => {
-                self.take_pull(host, flaw);
+            Step::ReceivePull(host, arrival) => {
+                self.receive_pull(host, mutation);
                 self.arrived(arrival, host, |daemon| daemon.pull = None);
             }
             Step::AnswerRead(host) => {
@@ -261,25 +267,25 @@
                 let read = Read { sent: self.now, answer: self.head() };
                 self.update(host, |daemon| daemon.read = Some(read));
             }
-            Step::TakeRead(host, arrival) => {
-                self.take_read(host, flaw);
+            Step::ReceiveRead(host, arrival) => {
+                self.receive_read(host, mutation);
                 self.arrived(arrival, host, |daemon| daemon.read = None);
             }
             Step::SendWrite(host) => self.update(host, |daemon| {
                 let against = daemon.standing.number();
                 daemon.write = Some(Write { against, committed: None });
-                daemon.acceptance.as_mut().expect(POSSIBLE).begin_write();
+                daemon.acceptance.as_mut().expect(STEP_ENABLED).begin_write();
             }),
             Step::AnswerWrite(host) => self.answer_write(host),
-            Step::TakeWrite(host) => self.take_write(host),
+            Step::ReceiveWrite(host) => self.receive_write(host),
             Step::GiveUpWrite(host) => self.update(host, |daemon| {
                 daemon.acceptance.iter_mut().for_each(|acceptance| acceptance.finish_write(None));
             }),
             Step::Resolve(host) => {
-                let number = self.daemon(host).acceptance.expect(POSSIBLE).number();
+                let number = self.daemon(host).acceptance.expect(STEP_ENABLED).number();
                 let found = self.delta(number).map(|delta| delta.id);
                 self.update(host, |daemon| {
-                    daemon.acceptance.as_mut().expect(POSSIBLE).resolve(found);
+                    daemon.acceptance.as_mut().expect(STEP_ENABLED).resolve(found);
                 });
             }
             Step::Acknowledge(host) => self.acknowledge(host),
@@ -288,15 +294,15 @@
 
     fn arrived(&mut self, arrival: Arrival, host: usize, clear: impl FnOnce(&mut Daemon)) {
         match arrival {
-            Arrival::First => self.doubles += 1,
+            Arrival::First => self.duplicates += 1,
             Arrival::Last => self.update(host, clear),
         }
     }
 
-    fn crash(&mut self, host: usize, flaw: Flaw) {
+    fn crash(&mut self, host: usize, mutation: Mutation) {
         self.crashes += 1;
         let mut daemon = Daemon::new(1);
-        if flaw == Flaw::RestartEmpty {
+        if mutation == Mutation::RestartEmpty {
             daemon.standing.advance(State::start().membership(Number(1)));
             daemon.standing.record_join(MemberId::from_raw(host as u32));
             daemon.top = Number(1);
@@ -317,41 +323,41 @@
             member: self.joined_id(to, number).unwrap_or(MemberId::from_raw(to as u32)),
             incarnation: peer.incarnation,
             number: peer.standing.number(),
-            vouches: peer.standing.confirmations(tick(self.now)),
+            confirmations: peer.standing.confirmations(tick(self.now)),
         };
         self.update(host, |daemon| daemon.pull = Some(pull));
     }
 
-    fn take_pull(&mut self, host: usize, flaw: Flaw) {
-        let pull = self.daemon(host).pull.clone().expect(POSSIBLE);
+    fn receive_pull(&mut self, host: usize, mutation: Mutation) {
+        let pull = self.daemon(host).pull.clone().expect(STEP_ENABLED);
         let membership = self.membership(pull.number);
         let expected = u64::from(pull.member.raw() >= MEMBERS as u32);
         self.update(host, |daemon| {
-            daemon.advance(membership, pull.number, flaw == Flaw::TakeOlder);
-            if pull.incarnation != expected && flaw != Flaw::RestartEmpty {
+            daemon.advance(membership, pull.number, mutation == Mutation::AcceptOlder);
+            if pull.incarnation != expected && mutation != Mutation::RestartEmpty {
                 daemon.standing.record_end(pull.member);
             }
-            for vouch in pull.vouches {
-                daemon.standing.record_confirmation(vouch, tick(pull.sent));
+            for confirmation in pull.confirmations {
+                daemon.standing.record_confirmation(confirmation, tick(pull.sent));
             }
         });
     }
 
-    fn take_read(&mut self, host: usize, flaw: Flaw) {
-        let read = self.daemon(host).read.clone().expect(POSSIBLE);
+    fn receive_read(&mut self, host: usize, mutation: Mutation) {
+        let read = self.daemon(host).read.clone().expect(STEP_ENABLED);
         let head = read.answer;
         let membership = self.membership(head);
-        let sent = if flaw == Flaw::ReadFromAnswer { self.now } else { read.sent };
+        let sent = if mutation == Mutation::ReadFromAnswer { self.now } else { read.sent };
         let me = self.joined_id(host, head);
         self.update(host, |daemon| {
-            daemon.advance(membership, head, flaw == Flaw::TakeOlder);
+            daemon.advance(membership, head, mutation == Mutation::AcceptOlder);
             daemon.standing.record_head_read(head, tick(sent));
-            if daemon.incarnation == 0 || flaw == Flaw::RestartEmpty {
+            if daemon.incarnation == 0 || mutation == Mutation::RestartEmpty {
                 return;
             }
             match me {
                 Some(me) => daemon.standing.record_join(me),
-                // It has read the table and now asks to join.
+                // The daemon has read the table and now writes its join.
                 None if daemon.acceptance.is_none() => daemon.begin(host, head),
                 None => {}
             }
@@ -359,7 +365,7 @@
     }
 
     fn answer_write(&mut self, host: usize) {
-        let write = self.daemon(host).write.clone().expect(POSSIBLE);
+        let write = self.daemon(host).write.clone().expect(STEP_ENABLED);
         let committed = write.against == self.head();
         if committed {
             self.append(host);
@@ -368,8 +374,8 @@
         self.update(host, |daemon| daemon.write = Some(write));
     }
 
-    fn take_write(&mut self, host: usize) {
-        let write = self.daemon(host).write.clone().expect(POSSIBLE);
+    fn receive_write(&mut self, host: usize) {
+        let write = self.daemon(host).write.clone().expect(STEP_ENABLED);
         let membership = self.membership(write.against.next());
         self.update(host, |daemon| {
             daemon.write = None;
@@ -384,13 +390,14 @@
     }
 
     fn acknowledge(&mut self, host: usize) {
-        let number = self.daemon(host).acceptance.expect(POSSIBLE).number();
+        let number = self.daemon(host).acceptance.expect(STEP_ENABLED).number();
         self.acked[number.0 as usize - 2].get_or_insert(self.now as u8);
         self.update(host, |daemon| daemon.acceptance = None);
     }
 
-    /// Whether no daemon has a patch to write, to acknowledge or to join by.
-    fn patches_done(&self) -> bool {
+    /// Returns whether no daemon has a patch to write or to acknowledge, or a join
+    /// to write.
+    fn no_patch_pending(&self) -> bool {
         let done = |daemon: Rc<Daemon>| {
             let joined = daemon.incarnation == 0 || daemon.standing.me().is_some();
             joined && daemon.acceptance.is_none() && daemon.write.is_none()
@@ -398,17 +405,17 @@
         self.daemons.iter().all(|daemon| done(daemon.get()))
     }
 
-    /// What must not be and yet is.
+    /// Returns the violations in this state.
     pub(crate) fn violations(&self) -> Vec<Violation> {
         let mut found = Vec::new();
         for (index, at) in self.acked.iter().enumerate() {
             let number = Number(2 + index as u64);
             let Some(at) = at.map(u64::from) else { continue };
-            if !self.held_truly(number) {
+            if !self.is_actually_stable(number) {
                 found.push(Violation::AckedByMinority(number));
             }
             if self.now > at + BOUND {
-                found.extend(self.stale(number));
+                found.extend(self.find_stale(number));
             }
         }
         let back = |daemon: Rc<Daemon>| daemon.standing.number() < daemon.top;
@@ -417,15 +424,16 @@
         found
     }
 
-    fn held_truly(&self, number: Number) -> bool {
+    fn is_actually_stable(&self, number: Number) -> bool {
         let membership = self.membership(number);
         let half = |set: &BTreeSet<MemberId>| {
-            set.iter().filter(|id| self.holds_truly(**id, number)).count() >= set.len().div_ceil(2)
+            set.iter().filter(|id| self.actually_holds(**id, number)).count()
+                >= set.len().div_ceil(2)
         };
         half(&membership.members) && half(&membership.before)
     }
 
-    fn stale(&self, acked: Number) -> Option<Violation> {
+    fn find_stale(&self, acked: Number) -> Option<Violation> {
         let stale = |daemon: Rc<Daemon>| {
             daemon.standing.number() < acked && daemon.standing.may_act(tick(self.now))
         };
--- a/kingcupbay_core/tests/spec_standing/shared.rs
+++ b/kingcupbay_core/tests/spec_standing/shared.rs
@@ -1,7 +1,8 @@
-//! Values that many states share, kept once and compared by their place.
+//! Interning of values that many states share.
 //!
-//! A state is then a few dozen bytes, and telling two apart costs nothing; a
-//! search of some million states fits the memory and the time of a test.
+//! Each distinct value is stored once and compared by its index, so a state is
+//! a few dozen bytes and comparing two states is cheap. A search of some
+//! million states then fits the memory and the time of a test.
 
 use std::{
     cell::RefCell,
@@ -13,52 +14,52 @@
     rc::Rc,
 };
 
-/// Every value that any state holds, each once.
+/// Stores each distinct value that any state holds once.
 pub(crate) struct Pool<T> {
-    /// Places by the hash of their value.
-    places: RefCell<BTreeMap<u64, Vec<u32>>>,
+    /// Indexes by the hash of their value.
+    indexes: RefCell<BTreeMap<u64, Vec<u32>>>,
     values: RefCell<Vec<Rc<T>>>,
 }
 
 impl<T> Default for Pool<T> {
     fn default() -> Pool<T> {
-        Pool { places: RefCell::default(), values: RefCell::default() }
+        Pool { indexes: RefCell::default(), values: RefCell::default() }
     }
 }
 
-/// A type with a pool.
+/// A type that has a pool.
 pub(crate) trait Pooled: Eq + Hash + Clone + Sized + 'static {
     fn pool<T>(run: impl FnOnce(&Pool<Self>) -> T) -> T;
 }
 
-/// Place of a value in its pool.
+/// Index of a value in its pool.
 ///
-/// Invariant: equal values have equal places.
+/// Invariant: equal values have equal indexes.
 pub(crate) struct Shared<T>(u32, PhantomData<T>);
 
 impl<T: Pooled> Shared<T> {
     pub(crate) fn new(value: T) -> Shared<T> {
         let mut hasher = DefaultHasher::new();
         value.hash(&mut hasher);
-        let place = T::pool(|pool| {
-            let mut places = pool.places.borrow_mut();
-            let places = places.entry(hasher.finish()).or_default();
+        let index = T::pool(|pool| {
+            let mut indexes = pool.indexes.borrow_mut();
+            let indexes = indexes.entry(hasher.finish()).or_default();
             let mut values = pool.values.borrow_mut();
-            if let Some(place) = places.iter().find(|place| *values[**place as usize] == value) {
-                return *place;
+            if let Some(index) = indexes.iter().find(|index| *values[**index as usize] == value) {
+                return *index;
             }
-            places.push(values.len() as u32);
+            indexes.push(values.len() as u32);
             values.push(Rc::new(value));
             values.len() as u32 - 1
         });
-        Shared(place, PhantomData)
+        Shared(index, PhantomData)
     }
 
     pub(crate) fn get(self) -> Rc<T> {
         T::pool(|pool| Rc::clone(&pool.values.borrow()[self.0 as usize]))
     }
 
-    /// Takes the place of the value as `change` leaves it.
+    /// Replaces the value by a changed copy.
     pub(crate) fn update<R>(&mut self, change: impl FnOnce(&mut T) -> R) -> R {
         let mut value = self.get().deref().clone();
         let result = change(&mut value);
--- a/kingcupbay_core/tests/spec_standing/state.rs
+++ b/kingcupbay_core/tests/spec_standing/state.rs
@@ -1,4 +1,4 @@
-//! The parts of a state: table, daemons, messages on their way.
+//! State of the model: the table, the daemons and the messages in transit.
 
 use std::{collections::BTreeSet, rc::Rc};
 
@@ -11,33 +11,34 @@
 
 use crate::shared::{Pool, Pooled, Shared};
 
-/// Members at the start.
+/// Number of members at the start.
 pub(crate) const MEMBERS: usize = 3;
 
-/// Ticks for which a proof counts.
+/// Maximum age of a proof, in ticks.
 pub(crate) const BOUND: u64 = 1;
 
-/// The number everyone holds at the start.
+/// Configuration number that all daemons hold at the start.
 const FIRST: u64 = 1;
 
 pub(crate) fn tick(now: u64) -> Instant {
-    // Not the clock's origin, so that ages reach back before the start.
+    // Starts after the clock's origin, so that ages can reach back before the
+    // start.
     Instant::from_micros(100 + now)
 }
 
-/// An answer to a pull, to be delivered late, twice or never.
+/// An answer to a pull, which may be delivered late, twice or never.
 ///
-/// Sending and answering are one step: a question that is answered later than
-/// it was sent proves less than one sent at that moment, so every state that
-/// it could lead to stands no better than one explored here.
+/// Sending and answering are a single step. A pull that is answered later than
+/// it was sent proves less than one sent at that later moment, so the states
+/// that it leads to allow no more than those explored here.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Pull {
     pub(crate) sent: u64,
-    /// Whom the sender took to be there.
+    /// Member that the sender expected at the address.
     pub(crate) member: MemberId,
     pub(crate) incarnation: u64,
     pub(crate) number: Number,
-    pub(crate) vouches: Vec<Confirmation>,
+    pub(crate) confirmations: Vec<Confirmation>,
 }
 
 /// An answer to a read of the head with all deltas; see [`Pull`].
@@ -54,12 +55,12 @@
     pub(crate) committed: Option<bool>,
 }
 
-/// One daemon.
+/// One daemon of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Daemon {
     pub(crate) incarnation: u64,
     pub(crate) standing: Standing,
-    /// The greatest number this incarnation ever held.
+    /// Greatest number that this incarnation ever held.
     pub(crate) top: Number,
     pub(crate) pull: Option<Pull>,
     pub(crate) read: Option<Read>,
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Learns the configuration `number`, content included. With `back` it
-    /// takes an older one too.
+    /// Receives the configuration `number`, content included. With `back` it
+    /// accepts an older one too.
     pub(crate) fn advance(&mut self, membership: Membership, number: Number, back: bool) {
         if back && number < self.standing.number() {
             let me = self.standing.me();
@@ -123,36 +124,39 @@
     }
 }
 
-/// One row of the table's log: who wrote it and the membership it makes.
+/// One row of the table's log: the id of its patch and the resulting
+/// membership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Delta {
     pub(crate) id: RequestId,
     pub(crate) membership: Membership,
-    /// The host whose new incarnation it lets join.
+    /// The host whose new incarnation joins by this row, and its new id.
     pub(crate) joins: Option<(usize, MemberId)>,
 }
 
-/// Most deltas in the table: the operator's and a join.
+/// Maximum number of deltas in the table: the operator's and a join.
 pub(crate) const DELTAS: usize = 2;
 
-/// Everything. Parts that many states share stand once; see [`Shared`].
+/// The whole state. Parts that many states have in common are interned; see
+/// [`Shared`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct State {
     pub(crate) now: u64,
-    /// The table: deltas after the first configuration.
+    /// The table's deltas after the first configuration.
     pub(crate) log: Shared<Vec<Delta>>,
     pub(crate) daemons: [Shared<Daemon>; MEMBERS],
-    /// When each delta was acknowledged.
+    /// Tick at which each delta was acknowledged.
     pub(crate) acked: [Option<u8>; DELTAS],
     pub(crate) pulls: u8,
     pub(crate) reads: u8,
     pub(crate) crashes: u8,
-    pub(crate) doubles: u8,
+    pub(crate) duplicates: u8,
 }
 
 impl State {
-    /// Everyone holds the first configuration, knows it of everyone, and has
-    /// just read the table; an operator's patch has reached member 0.
+    /// Returns the initial state: all daemons hold the first configuration, know
+    /// that the others hold it, and have just read the table; member 0 has received
+    /// an operator's patch.
     pub(crate) fn start() -> State {
         let daemon = |host: usize| {
             let mut daemon = Daemon::new(0);
@@ -177,7 +181,7 @@
             pulls: 0,
             reads: 0,
             crashes: 0,
-            doubles: 0,
+            duplicates: 0,
         }
     }
 
@@ -185,7 +189,7 @@
         self.daemons[host].get()
     }
 
-    /// The number in force in the table.
+    /// Returns the number in force in the table.
     pub(crate) fn head(&self) -> Number {
         Number(FIRST + self.log.get().len() as u64)
     }
@@ -214,7 +218,8 @@
         self.log.update(|log| log.push(delta));
     }
 
-    /// The id by which `host`'s present incarnation joined, as of `number`.
+    /// Returns the id under which `host`'s current incarnation joined, as far as
+    /// the configuration `number` shows it.
     pub(crate) fn joined_id(&self, host: usize, number: Number) -> Option<MemberId> {
         let known = number.0.saturating_sub(FIRST) as usize;
         let log = self.log.get();
@@ -222,8 +227,8 @@
         joins.find(|(joined, _)| *joined == host).map(|(_, id)| id)
     }
 
-    /// Whether `member` holds `number` in truth, or has ended.
-    pub(crate) fn holds_truly(&self, member: MemberId, number: Number) -> bool {
+    /// Returns whether `member` actually holds `number` or has ended.
+    pub(crate) fn actually_holds(&self, member: MemberId, number: Number) -> bool {
         let mut daemons = self.daemons.iter().map(|daemon| daemon.get());
         let daemon = daemons.find(|daemon| daemon.standing.me() == Some(member));
         daemon.is_none_or(|daemon| daemon.standing.number() >= number)
--- a/kingcupbay_core/tests/standing.rs
+++ b/kingcupbay_core/tests/standing.rs
@@ -1,4 +1,4 @@
-//! Standing: who may act on what, by table or by majority.
+//! Standing by table or majority, and the acceptance of patches.
 
 #![allow(clippy::unwrap_used)]
 
@@ -36,7 +36,7 @@
     Membership { number: Number(number), members: set(members), before: set(before) }
 }
 
-/// Member 0 of the five members under `number`.
+/// Returns the state of member 0 of five members under `number`.
 fn one_of_five(number: u64) -> Standing {
     let mut standing = Standing::new(Settings::default());
     standing.advance(membership(number, &[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]));
@@ -44,7 +44,7 @@
     standing
 }
 
-fn vouch(member: u32, number: u64, age: u64) -> Confirmation {
+fn confirmation(member: u32, number: u64, age: u64) -> Confirmation {
     let number = Number(number);
     Confirmation { member: id(member), number, held: number, age: Span::from_millis(age) }
 }
@@ -64,11 +64,11 @@
     }
 }
 
-/// A customer's key is withdrawn while the answer to a head read travels for
-/// four seconds. Timed from the answer, the entry would honour the key for
-/// three more.
+/// A customer's key is withdrawn while the answer to a head read is in transit
+/// for four seconds. If the read's age counted from the answer, the entry would
+/// honour the key for three more seconds.
 #[test]
-fn a_read_counts_from_its_sending() {
+fn a_head_read_counts_from_when_it_was_sent() {
     let mut standing = one_of_five(7);
     assert!(!standing.may_act(at(10_000)));
     standing.record_head_read(Number(7), at(10_000));
@@ -89,17 +89,17 @@
     assert!(!standing.is_behind());
 }
 
-/// The table is gone for ten minutes for everyone. Three of five still vouch
-/// and work goes on; a fourth that is cut off with one other stops.
+/// The table is unavailable to every daemon for ten minutes. A majority of
+/// three of five still confirms and goes on working; a partition of two stops.
 #[test]
-fn a_majority_vouches_through_a_table_outage_and_an_island_does_not() {
+fn a_majority_keeps_standing_through_a_table_outage_and_a_minority_does_not() {
     let mut standing = one_of_five(7);
     let mut island = one_of_five(7);
     for second in 10..610 {
         let sent = at(second * 1_000);
-        standing.record_confirmation(vouch(1, 7, 100), sent);
-        standing.record_confirmation(vouch(2, 6, 900), sent);
-        island.record_confirmation(vouch(3, 7, 0), sent);
+        standing.record_confirmation(confirmation(1, 7, 100), sent);
+        standing.record_confirmation(confirmation(2, 6, 900), sent);
+        island.record_confirmation(confirmation(3, 7, 0), sent);
         assert!(standing.may_act(sent + Span::from_millis(2_100)));
         assert!(!standing.may_act(sent + Span::from_millis(2_101)));
         assert!(!island.may_act(sent));
@@ -107,31 +107,31 @@
 }
 
 #[test]
-fn a_vouch_for_a_newer_number_does_not_count_for_the_older() {
+fn a_confirmation_of_a_newer_number_does_not_count_for_the_older() {
     let mut standing = one_of_five(7);
-    standing.record_confirmation(vouch(1, 7, 0), at(10_000));
-    standing.record_confirmation(vouch(2, 8, 0), at(10_000));
+    standing.record_confirmation(confirmation(1, 7, 0), at(10_000));
+    standing.record_confirmation(confirmation(2, 8, 0), at(10_000));
     assert!(!standing.may_act(at(10_000)));
     standing.advance(membership(8, &[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]));
     assert!(standing.may_act(at(10_000)));
 }
 
 #[test]
-fn an_older_configuration_never_comes_back() {
+fn an_older_configuration_is_ignored() {
     let mut standing = one_of_five(7);
     standing.advance(membership(6, &[0], &[]));
     assert_eq!(standing.number(), Number(7));
     assert_eq!(standing.membership().members.len(), 5);
 }
 
-/// Before it has read its own join, a daemon vouches for nothing, not even to
-/// itself; vouches of strangers count for nothing.
+/// Before a daemon has read its own join, it confirms nothing, not even to
+/// itself. Confirmations of non-members are ignored.
 #[test]
-fn only_members_vouch() {
+fn only_members_confirm() {
     let mut standing = Standing::new(Settings::default());
     standing.advance(membership(7, &[0, 1, 2], &[1, 2]));
-    standing.record_confirmation(vouch(9, 7, 0), at(10_000));
-    standing.record_confirmation(vouch(1, 7, 0), at(10_000));
+    standing.record_confirmation(confirmation(9, 7, 0), at(10_000));
+    standing.record_confirmation(confirmation(1, 7, 0), at(10_000));
     assert_eq!(standing.own_confirmation(), None);
     assert!(!standing.may_act(at(10_000)));
     standing.record_join(id(0));
@@ -140,10 +140,10 @@
 }
 
 /// All three hosts of a small site restart at once. Each new incarnation is
-/// another member, so the patch by which the first one joins would wait for a
-/// majority of dead members for ever.
+/// another member, so without knowing which members have ended, the patch by
+/// which the first one joins would wait for dead members forever.
 #[test]
-fn a_member_that_ended_holds_up_nothing() {
+fn an_ended_member_does_not_block_a_patch() {
     let mut standing = Standing::new(Settings::default());
     standing.advance(membership(4, &[3, 1, 2], &[0, 1, 2]));
     standing.record_join(id(3));
@@ -151,11 +151,11 @@
     assert!(!standing.is_stable(Number(4)));
     standing.record_end(id(1));
     assert!(standing.is_stable(Number(4)));
-    assert!(!standing.may_act(at(10_000)), "an ended member vouches for nothing");
+    assert!(!standing.may_act(at(10_000)), "an ended member confirms nothing");
 }
 
 #[test]
-fn a_patch_needs_the_majority_of_both_memberships() {
+fn a_patch_needs_half_of_both_memberships() {
     let mut standing = Standing::new(Settings::default());
     standing.advance(membership(4, &[0, 1, 3], &[0, 1, 2]));
     standing.record_join(id(0));
@@ -166,10 +166,10 @@
     assert!(standing.is_stable(Number(3)) && !standing.is_stable(Number(5)));
 }
 
-/// One host of two is gone for good. The one that is left must be able to
-/// write: nobody else can have a majority without it.
+/// One host of two is gone for good. The remaining one must be able to write:
+/// no other daemon can have a majority without it.
 #[test]
-fn of_two_members_the_one_that_is_left_goes_on() {
+fn the_last_of_two_members_can_still_write() {
     let mut standing = Standing::new(Settings::default());
     standing.advance(membership(4, &[0, 1], &[0, 1]));
     standing.record_join(id(0));
@@ -177,8 +177,9 @@
     assert!(!standing.may_act(at(10_000)), "without the table, half is not enough");
 }
 
-/// A host is paused; its successor joins. When it wakes up, the read it had
-/// sent before still counts as fresh, and shows it that it is replaced.
+/// A host is paused and its successor joins. After the pause, the host's head
+/// read from before it still counts as fresh and shows that the host was
+/// replaced.
 #[test]
 fn a_replaced_member_has_no_standing() {
     let mut standing = one_of_five(7);
@@ -189,7 +190,7 @@
 }
 
 #[test]
-fn membership_moves_one_member_a_patch_and_nothing_else() {
+fn a_patch_that_changes_membership_changes_one_member_only() {
     let config = Config::default();
     assert!(check_patch(&config, &patch(0, vec![join("a", 1)])).is_ok());
     let two = patch(0, vec![join("a", 1), join("b", 1)]);
@@ -198,9 +199,10 @@
     assert_eq!(check_patch(&config, &patch(3, vec![])), Err(stale));
 }
 
-/// An operator withdraws a key; the table takes the write and its answer is
-/// lost. Told "failed", the operator would believe the key still works; told
-/// nothing more than a repeat, the daemon would refuse its own patch as stale.
+/// An operator withdraws a key, the table executes the write and its answer is
+/// lost. Reporting a failure would make the operator believe that the key still
+/// works, and without the read a repeat would be refused as stale because of
+/// the operator's own patch.
 #[test]
 fn a_lost_answer_is_resolved_by_reading_and_a_repeat_is_harmless() {
     let mut standing = one_of_five(7);
@@ -226,10 +228,14 @@
 }
 
 #[test]
-fn of_two_operators_the_second_is_told_that_it_is_stale() {
+fn the_second_of_two_conflicting_patches_is_stale() {
     let mut standing = one_of_five(7);
     let mut second = Acceptance::new(&patch(7, vec![]));
-    assert_eq!(second.next_step(&standing), Step::Wait, "7 itself is not held by a majority yet");
+    assert_eq!(
+        second.next_step(&standing),
+        Step::Wait,
+        "7 itself is not held by half of the members yet"
+    );
     (1..3).for_each(|member| standing.record_held(id(member), Number(7)));
     second.begin_write();
     second.finish_write(Some(&TxnAnswer::Conflict(vec![])));
@@ -238,7 +244,7 @@
 }
 
 #[test]
-fn a_write_takes_head_and_delta_or_neither() {
+fn a_patch_write_is_conditional_on_head_and_delta() {
     let head = Head { number: Number(7), snapshot: Number(5) };
     let write = patch_txn(head, 3, &patch(7, vec![]));
     assert_eq!(write.conditions[0].revision, 3);
