--- a/kingcupbay_core/src/gossip/message.rs
+++ b/kingcupbay_core/src/gossip/message.rs
@@ -97,19 +97,19 @@
 pub fn unpack(number: Number, holding: &[Run], behind: &[Run]) -> Vec<Confirmation> {
     // A daemon passes on only confirmations that name nothing newer than what
     // it holds itself, so its number is an upper bound of theirs.
-    let held = unpack_runs(holding).map(|(member, age)| Confirmation {
+    let holders = unpack_runs(holding).map(|(member, age)| Confirmation {
         member,
         number,
         held: number,
         age,
     });
-    let not = unpack_runs(behind).map(|(member, age)| Confirmation {
+    let others = unpack_runs(behind).map(|(member, age)| Confirmation {
         member,
         number,
         held: Number(0),
         age,
     });
-    held.chain(not).collect()
+    holders.chain(others).collect()
 }
 
 fn pack_runs(confirmations: &[&Confirmation]) -> Vec<Run> {
--- a/kingcupbay_core/src/gossip/mod.rs
+++ b/kingcupbay_core/src/gossip/mod.rs
@@ -212,7 +212,7 @@
         let Some(pull) = self.pending.remove(&id) else { return Vec::new() };
         let mut actions = Vec::new();
         self.check_incarnation(pull.to, &answer, config);
-        self.take_patches(now, &answer, config, &mut actions);
+        self.apply_patches(now, &answer, config, &mut actions);
         if answer.number > self.standing.number() {
             actions.push(match answer.truncated {
                 true => Action::FetchSnapshot { from: pull.to },
@@ -293,7 +293,7 @@
         }
     }
 
-    fn take_patches(
+    fn apply_patches(
         &mut self,
         now: Instant,
         answer: &Answer,
@@ -380,13 +380,13 @@
         let me = self.standing.me();
         let others = self.standing.membership().members.iter().copied();
         let others: Vec<_> = others.filter(|id| Some(*id) != me).collect();
-        let answering: Vec<_> = others
+        let recent: Vec<_> = others
             .iter()
             .copied()
             .filter(|id| self.standing.confirmed_recently(*id, now))
             .collect();
-        let any = answering.is_empty() || self.random.below(ANY_MEMBER_PERIOD) == 0;
-        self.random.pick(if any { others } else { answering }, count)
+        let any = recent.is_empty() || self.random.below(ANY_MEMBER_PERIOD) == 0;
+        self.random.pick(if any { others } else { recent }, count)
     }
 
     fn is_due(&self, last: Option<Instant>, period: Span, now: Instant) -> bool {
--- a/kingcupbay_core/src/gossip/patches.rs
+++ b/kingcupbay_core/src/gossip/patches.rs
@@ -50,12 +50,12 @@
             return (Vec::new(), true);
         }
         let mut changes = 0;
-        let few = |patch: &&Patch| {
+        let fits = |patch: &&Patch| {
             let first = changes == 0;
             changes += patch.changes.len().max(1);
             first || changes <= MAX_ANSWER_CHANGES
         };
         let patches = self.patches.range(known.next()..).map(|(_, patch)| patch);
-        (patches.take_while(few).cloned().collect(), false)
+        (patches.take_while(fits).cloned().collect(), false)
     }
 }
--- a/kingcupbay_core/src/standing/mod.rs
+++ b/kingcupbay_core/src/standing/mod.rs
@@ -157,8 +157,9 @@
         peer.proof.record(confirmation.number, sent - confirmation.age, self.membership.number);
     }
 
-    /// Records that `member` holds `number`. The statement comes from a pull
-    /// request, whose time in transit is unknown, so it is no proof of freshness.
+    /// Records that `member` holds `number`. The statement has no known age: it
+    /// comes from a pull, whose time in transit is unknown, or from an answer's
+    /// list of silent members. So it is no proof of freshness.
     pub fn record_held(&mut self, member: MemberId, number: Number) {
         if self.me != Some(member) && self.membership.includes(member) {
             let peer = self.peers.entry(member).or_default();
