--- a/kingcupbay_core/src/gossip/mod.rs
+++ b/kingcupbay_core/src/gossip/mod.rs
@@ -1,19 +1,20 @@
-//! What daemons tell each other: vouches, numbers, loads, residency.
+//! Gossip between daemons: confirmations, patches and records.
 //!
-//! Each daemon pulls a few peers every period. An answer carries the patches
-//! the puller lacks ([`message`]), the answerer's own vouch and the ones it
-//! knows of others, and the records that changed ([`record`]). Ages of vouches
-//! count from when the pull was sent, so nothing compares two clocks.
+//! Each daemon pulls from a few peers every period. An answer carries the
+//! patches that the puller lacks ([`message`]), the confirmations of the
+//! answerer and of the members it knows of, and the records that changed
+//! ([`record`]). The age of a confirmation counts from when the pull was sent,
+//! so the clocks of two hosts are never compared.
 //!
-//! A new number does not wait for the next period: whoever learns one pulls a
-//! few peers at once, and whoever is pulled by a daemon that holds more pulls
-//! back at once.
+//! A new number does not wait for the next period: a daemon that receives one
+//! pulls from a few peers at once, and a daemon that is pulled by a peer that
+//! holds a newer number pulls back at once.
 //!
-//! [`Gossip`] decides; its commands return [`Action`]s for the shell to carry
+//! [`Gossip`] decides; its methods return [`Action`]s for the shell to carry
 //! out in order.
 
 pub mod message;
-mod news;
+mod patches;
 pub mod record;
 
 use std::collections::BTreeMap;
@@ -27,28 +28,28 @@
 };
 
 use message::{Answer, Pull, Snapshot, pack, unpack};
-use news::News;
+use patches::RecentPatches;
 use record::Records;
 
 /// Settings of [`Gossip`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Time between two rounds of pulls. An eighth of the freshness bound at
-    /// most: a vouch needs about six periods to reach half of 340 members.
+    /// Time between two rounds of pulls. At most an eighth of the freshness
+    /// bound: a confirmation needs about six periods to reach half of 340 members.
     pub period: Span,
     /// Peers pulled in a round. One is enough at 340 members, and the answer's
-    /// size times the rounds a second is what the byte budget is spent on.
+    /// size times the rounds a second is most of the traffic.
     pub fan_out: usize,
-    /// Peers pulled at once when a new number was learnt. Three reach all but
-    /// some six in a hundred without waiting for a period.
-    pub eager: usize,
-    /// Time between two head reads while peers vouch; each daemon's share of
-    /// the table's reads. Without their vouches a read goes out every period.
+    /// Peers pulled at once when a new number arrives. Three spread it to all but
+    /// about six in a hundred members without waiting for a period.
+    pub eager_pulls: usize,
+    /// Time between two head reads while a majority confirms; this bounds each
+    /// daemon's load on the table. Otherwise a read is sent every period.
     pub read_period: Span,
-    /// Rounds after which a pull asks for records; the list of what is known
-    /// already is about as long as all vouches.
+    /// Every how many rounds a pull asks for records. The list of known records
+    /// that it then carries is about as long as all confirmations.
     pub record_rounds: u32,
-    /// Time after which a pull without an answer is forgotten.
+    /// Time after which an unanswered pull is forgotten.
     pub timeout: Span,
 }
 
@@ -57,7 +58,7 @@
         Settings {
             period: Span::from_millis(250),
             fan_out: 1,
-            eager: 3,
+            eager_pulls: 3,
             read_period: Span::from_secs(2),
             record_rounds: 4,
             timeout: Span::from_secs(1),
@@ -65,180 +66,181 @@
     }
 }
 
-/// One pull in ten goes to any member, so that one whose vouches ran out is
-/// found again; the others go to members that answer.
-const ANY: u64 = 10;
+/// One pull in ten, on average, picks among all members, so that a member
+/// without a recent confirmation is found again; the others pick among members
+/// that confirmed recently.
+const ANY_MEMBER_PERIOD: u64 = 10;
 
-/// Names a pull on its way; answers come back with it.
+/// Id of a pull, to match its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PullId(u64);
 
-/// What the shell is to do.
+/// An action for the shell.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send this pull and report its answer under its id, or its failure.
+    /// Send this pull, and report its answer or its failure under its id.
     SendPull {
-        /// The pull's name.
+        /// Id of the pull.
         id: PullId,
-        /// Whom to ask; its address stands in the configuration.
+        /// Member to ask; its address is in the configuration.
         to: MemberId,
-        /// What to send.
+        /// Message to send.
         pull: Pull,
     },
-    /// Ask this member for its whole configuration: too many patches are
-    /// missing to carry them.
+    /// Fetch the whole configuration from this member: more patches are missing
+    /// than it keeps.
     FetchSnapshot {
-        /// Whom to ask.
+        /// Member to ask.
         from: MemberId,
     },
-    /// Read the configuration's head and what is new since.
+    /// Read the configuration's head and the patches since.
     ReadHead,
-    /// Take this configuration into use.
+    /// Start using this configuration.
     Adopt(Box<Config>),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Flight {
+struct PendingPull {
     to: MemberId,
     sent: Instant,
 }
 
-/// The conversation of one daemon with the others.
+/// Gossip state of one daemon.
 #[derive(Debug)]
 pub struct Gossip {
     settings: Settings,
     incarnation: u64,
     standing: Standing,
-    news: News,
+    patches: RecentPatches,
     records: Records,
     random: Random,
-    flights: BTreeMap<PullId, Flight>,
-    next: PullId,
+    pending: BTreeMap<PullId, PendingPull>,
+    next_id: PullId,
     rounds: u32,
-    pulled: Option<Instant>,
-    read: Option<Instant>,
+    last_round: Option<Instant>,
+    last_read: Option<Instant>,
 }
 
 impl Gossip {
-    /// A daemon that has just started. `incarnation` and `seed` are drawn at
-    /// random by the shell.
+    /// Creates the state of a daemon that has just started. The shell draws
+    /// `incarnation` and `seed` at random.
     pub fn new(settings: Settings, standing: Standing, incarnation: u64, seed: u64) -> Gossip {
         Gossip {
             settings,
             incarnation,
             standing,
-            news: News::default(),
+            patches: RecentPatches::default(),
             records: Records::default(),
             random: Random::new(seed),
-            flights: BTreeMap::new(),
-            next: PullId(0),
+            pending: BTreeMap::new(),
+            next_id: PullId(0),
             rounds: 0,
-            pulled: None,
-            read: None,
+            last_round: None,
+            last_read: None,
         }
     }
 
-    /// Whether this daemon may act on what it knows.
+    /// Returns the state that decides whether this daemon may act.
     pub fn standing(&self) -> &Standing {
         &self.standing
     }
 
-    /// What is known of other members, and of this one.
+    /// Returns the known records of all members, this one included.
     pub fn records(&self) -> &Records {
         &self.records
     }
 
-    /// Publishes this daemon's own records.
+    /// Returns the records, to publish this daemon's own.
     pub fn records_mut(&mut self) -> &mut Records {
         &mut self.records
     }
 
-    /// Time passes: pulls and reads that are due.
+    /// Forgets pulls that timed out and returns the pulls and reads that are due.
     pub fn tick(&mut self, now: Instant) -> Vec<Action> {
         let timeout = self.settings.timeout;
-        self.flights.retain(|_, flight| now.since(flight.sent) <= timeout);
+        self.pending.retain(|_, pull| now.since(pull.sent) <= timeout);
         let mut actions = Vec::new();
-        if self.due(self.pulled, self.settings.period, now) {
-            self.pulled = Some(now);
+        if self.is_due(self.last_round, self.settings.period, now) {
+            self.last_round = Some(now);
             self.rounds += 1;
             let records = self.rounds.is_multiple_of(self.settings.record_rounds);
-            self.round(now, self.settings.fan_out, records, &mut actions);
+            self.pull_peers(now, self.settings.fan_out, records, &mut actions);
         }
-        let vouched = self.standing.vouched_for(now) && !self.standing.behind();
-        let hurried = self.settings.period.min(self.settings.read_period);
-        let pause = if vouched { self.settings.read_period } else { hurried };
-        if self.due(self.read, pause, now) {
-            self.read = Some(now);
+        let confirmed = self.standing.has_majority(now) && !self.standing.is_behind();
+        let short = self.settings.period.min(self.settings.read_period);
+        let interval = if confirmed { self.settings.read_period } else { short };
+        if self.is_due(self.last_read, interval, now) {
+            self.last_read = Some(now);
             actions.push(Action::ReadHead);
         }
         actions
     }
 
-    /// Pulls every member that is not known to hold the number held here, and
-    /// asks for nothing but its own vouch. For a daemon that waits for a
-    /// majority: it should not take as long as gossip does.
-    pub fn settle(&mut self, now: Instant) -> Vec<Action> {
+    /// Pulls every member that is not known to hold the number held here and has
+    /// no pull pending, and asks for its own confirmation only. A daemon that
+    /// waits for a majority uses this, since gossip would take longer.
+    pub fn pull_missing(&mut self, now: Instant) -> Vec<Action> {
         let membership = self.standing.membership();
         let both = membership.members.union(&membership.before);
-        let asked = |id: MemberId| self.flights.values().any(|flight| flight.to == id);
-        let lacks = |id: &MemberId| !self.standing.has(*id) && !asked(*id);
+        let asked = |id: MemberId| self.pending.values().any(|pull| pull.to == id);
+        let lacks = |id: &MemberId| !self.standing.holds_current(*id) && !asked(*id);
         let missing: Vec<_> = both.copied().filter(lacks).collect();
-        missing.into_iter().map(|to| self.pull(now, to, true, false)).collect()
+        missing.into_iter().map(|to| self.start_pull(now, to, true, false)).collect()
     }
 
-    /// A peer pulls this daemon.
-    pub fn pulled(&mut self, now: Instant, pull: &Pull) -> (Answer, Vec<Action>) {
+    /// Answers a peer's pull. Pulls back if the peer holds a newer number.
+    pub fn answer_pull(&mut self, now: Instant, pull: &Pull) -> (Answer, Vec<Action>) {
         let mut actions = Vec::new();
         if let Some(member) = pull.member {
-            self.standing.holding(member, pull.number);
+            self.standing.record_held(member, pull.number);
             if pull.number > self.standing.number() {
-                actions.push(self.pull(now, member, true, false));
+                actions.push(self.start_pull(now, member, true, false));
             }
         }
-        (self.answer(now, pull), actions)
+        (self.build_answer(now, pull), actions)
     }
 
-    /// The answer to a pull. An id that is not on its way any more, because
-    /// the answer came already or too late, changes nothing.
-    pub fn answered(
+    /// Handles the answer to a pull. Ignores an id that is not pending, because
+    /// the answer is a duplicate or came after the timeout.
+    pub fn handle_answer(
         &mut self,
         now: Instant,
         id: PullId,
         answer: Answer,
         config: &Config,
     ) -> Vec<Action> {
-        let Some(flight) = self.flights.remove(&id) else { return Vec::new() };
+        let Some(pull) = self.pending.remove(&id) else { return Vec::new() };
         let mut actions = Vec::new();
-        self.meet(flight.to, &answer, config);
-        self.take_patches(now, &answer, config, &mut actions);
+        self.check_incarnation(pull.to, &answer, config);
+        self.apply_patches(now, &answer, config, &mut actions);
         if answer.number > self.standing.number() {
             actions.push(match answer.truncated {
-                true => Action::FetchSnapshot { from: flight.to },
+                true => Action::FetchSnapshot { from: pull.to },
                 false => Action::ReadHead,
             });
         }
         for member in answer.silent {
-            self.standing.holding(member, answer.number);
+            self.standing.record_held(member, answer.number);
         }
         for member in answer.ended {
-            self.standing.ended(member);
+            self.standing.record_end(member);
         }
-        for vouch in unpack(answer.number, &answer.holding, &answer.behind) {
-            self.standing.vouched(vouch, flight.sent);
+        for confirmation in unpack(answer.number, &answer.holding, &answer.behind) {
+            self.standing.record_confirmation(confirmation, pull.sent);
         }
         self.records.merge(answer.records);
         actions
     }
 
-    /// A pull got no answer.
-    pub fn failed(&mut self, id: PullId) {
-        self.flights.remove(&id);
+    /// Forgets a pull that got no answer.
+    pub fn forget_pull(&mut self, id: PullId) {
+        self.pending.remove(&id);
     }
 
-    /// The head read that was sent at `sent` found `head` in force and, after
-    /// the configuration in use, these patches in order. `config` is the one
-    /// that results; it is the same as before when there are none.
-    pub fn head_read(
+    /// Handles the result of the head read sent at `sent`, which found `head` in
+    /// force. `config` is the configuration after all patches that the read
+    /// brought, or the unchanged one if there were none.
+    pub fn handle_head_read(
         &mut self,
         now: Instant,
         sent: Instant,
@@ -246,50 +248,52 @@
         config: &Config,
     ) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.follow(config);
-        self.standing.head_read(head, sent);
-        self.recognise(config);
-        if self.news.moved() {
-            self.round(now, self.settings.eager, false, &mut actions);
+        self.advance(config);
+        self.standing.record_head_read(head, sent);
+        self.find_own_join(config);
+        if self.patches.take_changed() {
+            self.pull_peers(now, self.settings.eager_pulls, false, &mut actions);
         }
         actions
     }
 
-    /// One patch read from the table or written there: `config` results.
-    pub fn patched(&mut self, patch: crate::config::patch::Patch, config: &Config) {
+    /// Adds a patch that was read from the table, written there or received from
+    /// a peer; `config` is the resulting configuration.
+    pub fn add_patch(&mut self, patch: crate::config::patch::Patch, config: &Config) {
         if config.number == self.standing.number().next() {
-            self.news.add(config.number, patch);
-            self.follow(config);
+            self.patches.add(config.number, patch);
+            self.advance(config);
         }
     }
 
-    /// A whole configuration from a peer or the object store.
-    pub fn restored(&mut self, snapshot: Snapshot) -> Vec<Action> {
+    /// Adopts a whole configuration from a peer or the object store if it is
+    /// newer.
+    pub fn restore(&mut self, snapshot: Snapshot) -> Vec<Action> {
         if snapshot.config.number <= self.standing.number() {
             return Vec::new();
         }
-        self.news.clear();
-        self.standing.advance(Membership::of(&snapshot.config, snapshot.before));
-        self.records.keep(&self.standing.membership().members);
+        self.patches.clear();
+        self.standing.advance(Membership::from_config(&snapshot.config, snapshot.before));
+        self.records.retain(&self.standing.membership().members);
         vec![Action::Adopt(Box::new(snapshot.config))]
     }
 
-    /// What a newcomer needs to count majorities from `config` on.
+    /// Returns what another daemon needs to count majorities from `config` on.
     pub fn snapshot(&self, config: &Config) -> Snapshot {
         let before = self.standing.membership().before.clone();
         Snapshot { config: config.clone(), before }
     }
 
-    /// Who it was that answered. Another incarnation at a member's address
-    /// means that the member has ended, since it gave the address free.
-    fn meet(&mut self, to: MemberId, answer: &Answer, config: &Config) {
+    /// Checks which incarnation answered. Another one at a member's address means
+    /// that the member has ended, since it has given up the address.
+    fn check_incarnation(&mut self, to: MemberId, answer: &Answer, config: &Config) {
         let expected = config.members.get(to).map(|row| row.incarnation);
         if expected.is_some_and(|incarnation| incarnation != answer.incarnation) {
-            self.standing.ended(to);
+            self.standing.record_end(to);
         }
     }
 
-    fn take_patches(
+    fn apply_patches(
         &mut self,
         now: Instant,
         answer: &Answer,
@@ -304,23 +308,23 @@
             }
             let next = current.patched(patch);
             let next = next.expect("the writer checked the patch against the same rows");
-            self.patched(patch.clone(), &next);
+            self.add_patch(patch.clone(), &next);
             newest = Some(next);
         }
         if let Some(config) = newest {
             actions.push(Action::Adopt(Box::new(config)));
-            self.news.moved();
-            self.round(now, self.settings.eager, false, actions);
+            self.patches.take_changed();
+            self.pull_peers(now, self.settings.eager_pulls, false, actions);
         }
     }
 
-    fn answer(&self, now: Instant, pull: &Pull) -> Answer {
+    fn build_answer(&self, now: Instant, pull: &Pull) -> Answer {
         let standing = &self.standing;
         let number = standing.number();
-        let own = standing.own().into_iter().collect();
-        let vouches = if pull.brief { own } else { standing.vouches(now) };
-        let (holding, behind) = pack(number, &vouches);
-        let (patches, truncated) = self.news.since(pull.number, number);
+        let own = standing.own_confirmation().into_iter().collect();
+        let confirmations = if pull.brief { own } else { standing.confirmations(now) };
+        let (holding, behind) = pack(number, &confirmations);
+        let (patches, truncated) = self.patches.since(pull.number, number);
         Answer {
             incarnation: self.incarnation,
             number,
@@ -334,54 +338,58 @@
         }
     }
 
-    fn follow(&mut self, config: &Config) {
+    fn advance(&mut self, config: &Config) {
         if config.number > self.standing.number() {
             self.standing.advance(self.standing.membership().next(config));
-            self.records.keep(&self.standing.membership().members);
+            self.records.retain(&self.standing.membership().members);
         }
     }
 
-    /// Looks for this incarnation's own join, in what the table has shown.
-    fn recognise(&mut self, config: &Config) {
+    /// Looks for this incarnation's own join in the configuration read from the
+    /// table.
+    fn find_own_join(&mut self, config: &Config) {
         let own = config.members.iter().find(|(_, row)| row.incarnation == self.incarnation);
         if let Some((id, _)) = own
             && self.standing.me() != Some(id)
         {
-            self.standing.joined(id);
-            self.records.joined(id);
+            self.standing.record_join(id);
+            self.records.set_own_id(id);
         }
     }
 
-    fn round(&mut self, now: Instant, count: usize, records: bool, actions: &mut Vec<Action>) {
-        for to in self.choose(now, count) {
-            actions.push(self.pull(now, to, false, records));
+    fn pull_peers(&mut self, now: Instant, count: usize, records: bool, actions: &mut Vec<Action>) {
+        for to in self.choose_peers(now, count) {
+            actions.push(self.start_pull(now, to, false, records));
         }
     }
 
-    fn pull(&mut self, now: Instant, to: MemberId, brief: bool, records: bool) -> Action {
-        let id = self.next;
-        self.next = PullId(id.0 + 1);
-        self.flights.insert(id, Flight { to, sent: now });
+    fn start_pull(&mut self, now: Instant, to: MemberId, brief: bool, records: bool) -> Action {
+        let id = self.next_id;
+        self.next_id = PullId(id.0 + 1);
+        self.pending.insert(id, PendingPull { to, sent: now });
         let pull = Pull {
-            member: self.standing.own().map(|own| own.member),
+            member: self.standing.own_confirmation().map(|own| own.member),
             number: self.standing.number(),
             brief,
-            seen: records.then(|| self.records.seen()),
+            seen: records.then(|| self.records.known_sequences()),
         };
         Action::SendPull { id, to, pull }
     }
 
-    fn choose(&mut self, now: Instant, count: usize) -> Vec<MemberId> {
+    fn choose_peers(&mut self, now: Instant, count: usize) -> Vec<MemberId> {
         let me = self.standing.me();
         let others = self.standing.membership().members.iter().copied();
         let others: Vec<_> = others.filter(|id| Some(*id) != me).collect();
-        let answering: Vec<_> =
-            others.iter().copied().filter(|id| self.standing.answers(*id, now)).collect();
-        let any = answering.is_empty() || self.random.below(ANY) == 0;
-        self.random.pick(if any { others } else { answering }, count)
+        let recent: Vec<_> = others
+            .iter()
+            .copied()
+            .filter(|id| self.standing.confirmed_recently(*id, now))
+            .collect();
+        let any = recent.is_empty() || self.random.below(ANY_MEMBER_PERIOD) == 0;
+        self.random.pick(if any { others } else { recent }, count)
     }
 
-    fn due(&self, last: Option<Instant>, period: Span, now: Instant) -> bool {
+    fn is_due(&self, last: Option<Instant>, period: Span, now: Instant) -> bool {
         last.is_none_or(|last| now.since(last) >= period)
     }
 }
