--- a/kingcupbay_core/src/admission/mod.rs
+++ b/kingcupbay_core/src/admission/mod.rs
@@ -360,7 +360,7 @@
     }
 
     fn memory(&self, report: &Report) -> u64 {
-        let memory = if report.memory > 0 { report.memory } else { self.spec.memory };
+        let memory = if report.memory > 0 { report.memory } else { self.spec.kv_tokens };
         memory * MEMORY_PART / 100
     }
 
--- a/kingcupbay_core/src/admission/orders.rs
+++ b/kingcupbay_core/src/admission/orders.rs
@@ -230,7 +230,7 @@
                 && self.allowed(name)
                 && view.loads.may_begin(now, name, report.pending.len())
         };
-        let room = report.places_taken() + kept < view.spec.places as usize;
+        let room = report.places_taken() + kept < view.spec.adapter_slots as usize;
         if let Some(name) = self.copies.keys().chain(view.wanted).find(absent) {
             return match room {
                 true => Some((name.clone(), LOAD)),
--- a/kingcupbay_core/src/admission/report.rs
+++ b/kingcupbay_core/src/admission/report.rs
@@ -1,7 +1,7 @@
 //! What an engine reports of itself.
 
 use crate::{
-    deployment::model::{AdapterName, Held, held_version},
+    deployment::model::{AdapterName, ResidentModel, resident_version},
     time::Span,
 };
 
@@ -25,7 +25,7 @@
     /// Tokens of memory.
     pub memory: u64,
     /// Base models with their adapters.
-    pub held: Vec<Held>,
+    pub held: Vec<ResidentModel>,
     /// Adapters on their way, with their versions.
     pub pending: Vec<(AdapterName, u32)>,
     /// Requests that run.
@@ -46,7 +46,7 @@
 impl Report {
     /// The version in which `name` is loaded.
     pub fn version(&self, name: &AdapterName) -> Option<u32> {
-        held_version(&self.held, name)
+        resident_version(&self.held, name)
     }
 
     /// Whether the base model of `name` is loaded.
--- a/kingcupbay_core/src/allowance.rs
+++ b/kingcupbay_core/src/allowance.rs
@@ -76,9 +76,9 @@
 
 /// Why a request is over the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Over {
+pub struct OverLimit {
     /// When there will be enough.
-    pub after: Span,
+    pub retry_after: Span,
 }
 
 /// One organisation at this entry.
@@ -172,19 +172,24 @@
     }
 
     /// Time between two tallies to the others.
-    pub fn period(&self) -> Span {
+    pub fn report_period(&self) -> Span {
         let each = PERIOD_EACH.as_micros() * self.entries() as u64;
         Span::from_micros(each).clamp(PERIOD_MIN, PERIOD_MAX)
     }
 
     /// Asks for `cost` tokens of `who`; they are taken if there are enough.
-    pub fn ask(&mut self, now: Instant, who: &Organisation, cost: u64) -> Result<(), Over> {
+    pub fn try_acquire(
+        &mut self,
+        now: Instant,
+        who: &Organisation,
+        cost: u64,
+    ) -> Result<(), OverLimit> {
         if who.rate == 0 {
             return Ok(());
         }
         let blind = self.look(now);
         let share = self.share(who);
-        let lag = self.period().as_secs_f64() * LAG;
+        let lag = self.report_period().as_secs_f64() * LAG;
         let aside = (self.others(who) * lag).min(who.burst as f64 * ASIDE_MAX);
         let alone = self.removed && !self.peers.is_empty();
         let account = self.account(now, who, share);
@@ -208,11 +213,11 @@
         let own = (part_needed - account.part) / (rate * share).max(1.0);
         let wait = own.max(-account.level / rate);
         let after = Span::from_micros((wait.max(AFTER_MIN) * 1e6) as u64);
-        Err(Over { after: after.min(AFTER_MAX) })
+        Err(OverLimit { retry_after: after.min(AFTER_MAX) })
     }
 
     /// Gives back what a request did not use because it did not run.
-    pub fn give_back(&mut self, now: Instant, who: &Organisation, cost: u64) {
+    pub fn refund(&mut self, now: Instant, who: &Organisation, cost: u64) {
         if who.rate == 0 {
             return;
         }
@@ -224,7 +229,7 @@
     }
 
     /// What the other entries are told.
-    pub fn tally(&mut self, now: Instant, number: Number) -> Tally {
+    pub fn usage_report(&mut self, now: Instant, number: Number) -> Tally {
         let blind = self.look(now);
         let whole = self.until_whole == 0;
         self.until_whole = if whole { WHOLE_EACH - 1 } else { self.until_whole - 1 };
@@ -250,13 +255,13 @@
     }
 
     /// Another entry lacks what the last whole tally told; the next one is whole.
-    pub fn on_unknown(&mut self) {
+    pub fn on_full_report_request(&mut self) {
         self.until_whole = 0;
     }
 
     /// Takes what another entry told. False: this entry has no whole tally of it,
     /// without which it cannot tell what was spent since.
-    pub fn on_tally(&mut self, now: Instant, tally: Tally) -> bool {
+    pub fn on_usage_report(&mut self, now: Instant, tally: Tally) -> bool {
         let young = now.since(self.started) < YOUNG;
         let before = self.peers.get(&tally.host).cloned().flatten();
         let same = before.as_ref().is_some_and(|peer| peer.incarnation == tally.incarnation);
@@ -306,7 +311,7 @@
     }
 
     fn is_blind(&self, now: Instant) -> bool {
-        let limit = Span::from_micros((self.period().as_micros() as f64 * SILENT) as u64);
+        let limit = Span::from_micros((self.report_period().as_micros() as f64 * SILENT) as u64);
         self.silent_since(now, limit).next().is_some()
     }
 
--- a/kingcupbay_core/src/deployment/catalogue.rs
+++ b/kingcupbay_core/src/deployment/catalogue.rs
@@ -163,13 +163,13 @@
 
     /// Whether other entries have to hear of `row`. One that was missing is news to
     /// those that miss it too.
-    pub fn is_news(&self, row: &Instance) -> bool {
+    pub fn needs_report(&self, row: &Instance) -> bool {
         let before = self.instances.get(&row.id);
-        self.missing.contains_key(&row.id) || before.is_none_or(|before| row.is_news(before))
+        self.missing.contains_key(&row.id) || before.is_none_or(|before| row.needs_report(before))
     }
 
     /// Takes a change that another entry has read.
-    pub fn on_changed(&mut self, now: Instant, change: Changed) {
+    pub fn on_reported_change(&mut self, now: Instant, change: Changed) {
         let version = change.version;
         match change.what {
             What::Upstream(row) if row.leaving => {
@@ -212,7 +212,7 @@
 
     /// Another entry tells that an upstream has left as of `version`. Says whether
     /// that was news.
-    pub fn on_left(&mut self, now: Instant, id: &str, version: u64) -> bool {
+    pub fn on_departure_report(&mut self, now: Instant, id: &str, version: u64) -> bool {
         self.departures.on_told(now, id, version);
         let newer = |known: &&Rc<Instance>| known.version < version && !known.leaving;
         let Some(known) = self.instances.get(id).filter(newer) else { return false };
@@ -222,7 +222,7 @@
     }
 
     /// What the next tally tells of upstreams that have left.
-    pub fn departures(&mut self, now: Instant, whole: bool) -> BTreeMap<String, u64> {
+    pub fn departures_to_report(&mut self, now: Instant, whole: bool) -> BTreeMap<String, u64> {
         self.departures.tell(now, whole)
     }
 
--- a/kingcupbay_core/src/deployment/catchup.rs
+++ b/kingcupbay_core/src/deployment/catchup.rs
@@ -12,7 +12,7 @@
     time::{Instant, Span},
 };
 
-use super::waits::{FETCH_PAUSE, OWN_FEED};
+use super::waits::{FETCH_PAUSE_MIN, OWN_FEED_DELAY};
 
 /// Longest pause; it doubles with each fetch that brought nothing. A withdrawn key has
 /// to be dead some seconds later.
@@ -45,7 +45,7 @@
             behind: None,
             asking: false,
             next: Instant::default(),
-            pause: FETCH_PAUSE,
+            pause: FETCH_PAUSE_MIN,
         }
     }
 }
@@ -57,14 +57,14 @@
     }
 
     /// Another entry acts on `theirs`.
-    pub fn hear(&mut self, theirs: Number) {
+    pub fn on_number(&mut self, theirs: Number) {
         self.newest = self.newest.max(theirs);
     }
 
     /// Another entry acts on `theirs`, this one on `own`: whether to ask that
-    /// one now. If so, [`CatchUp::on_end`] is owed.
-    pub fn ask(&mut self, now: Instant, own: Number, theirs: Number) -> bool {
-        self.hear(theirs);
+    /// one now. If so, [`CatchUp::on_fetch_end`] is owed.
+    pub fn begin_fetch(&mut self, now: Instant, own: Number, theirs: Number) -> bool {
+        self.on_number(theirs);
         if own >= self.newest || own > self.own {
             self.behind = None;
         }
@@ -73,7 +73,7 @@
             return false;
         }
         let since = *self.behind.get_or_insert(now);
-        if now.since(since) < OWN_FEED || self.asking || now < self.next {
+        if now.since(since) < OWN_FEED_DELAY || self.asking || now < self.next {
             return false;
         }
         self.asking = true;
@@ -81,11 +81,11 @@
     }
 
     /// The fetch has ended; `own` is the number that this entry acts on now.
-    pub fn on_end(&mut self, now: Instant, own: Number) {
+    pub fn on_fetch_end(&mut self, now: Instant, own: Number) {
         self.asking = false;
         let caught_up = own >= self.newest;
         if caught_up {
-            self.pause = FETCH_PAUSE;
+            self.pause = FETCH_PAUSE_MIN;
         }
         self.next = now + self.pause;
         if !caught_up {
--- a/kingcupbay_core/src/deployment/lookup.rs
+++ b/kingcupbay_core/src/deployment/lookup.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Caller {
     /// An organisation's, by its key.
-    Of(Rc<Organisation>),
+    Organisation(Rc<Organisation>),
     /// Nobody's; the route or the configuration asks for no key.
     Anonymous,
     /// The key is missing, unknown or withdrawn.
@@ -29,7 +29,7 @@
     /// Whose a request with `key` on `route` is.
     pub fn caller(&self, route: &Route, key: Option<&KeyHash>) -> Caller {
         if let Some(&at) = key.and_then(|key| self.keys.get(key)) {
-            return Caller::Of(self.organisations[at].clone());
+            return Caller::Organisation(self.organisations[at].clone());
         }
         match route.anonymous || self.organisations.is_empty() {
             true => Caller::Anonymous,
--- a/kingcupbay_core/src/deployment/mod.rs
+++ b/kingcupbay_core/src/deployment/mod.rs
@@ -6,7 +6,7 @@
 //! takes and whose key it carries, [`catalogue`] keeps the newest of everything
 //! that a daemon has learned, `departures` which upstreams have left, and [`catchup`]
 //! says when to ask another daemon for what the store has not told. [`readers`] says
-//! which entries read the store for the others, [`readings`] how far each table is known.
+//! which entries read the store for the others, [`read_positions`] how far each table is known.
 //! [`waits`] holds how long each step on a change's way may take.
 
 pub mod catalogue;
@@ -14,6 +14,6 @@
 mod departures;
 pub mod lookup;
 pub mod model;
+pub mod read_positions;
 pub mod readers;
-pub mod readings;
 pub mod waits;
--- a/kingcupbay_core/src/deployment/model.rs
+++ b/kingcupbay_core/src/deployment/model.rs
@@ -64,9 +64,9 @@
     /// Longest time that a request is kept waiting.
     pub timeout: Span,
     /// Time within which an answer, or a stream's first event, is on time.
-    pub aim: Span,
+    pub latency_target: Span,
     /// Longest pause between two events of a stream that is on time.
-    pub gap: Option<Span>,
+    pub event_gap: Option<Span>,
     /// Most upstreams that one attempt of a caller is sent to.
     pub attempts: u32,
     /// Rank, 0 first.
@@ -99,16 +99,16 @@
     /// Requests that run at once.
     pub slots: u32,
     /// Tokens that running requests and kept prompts share.
-    pub memory: u64,
+    pub kv_tokens: u64,
     /// Places for adapters.
-    pub places: u32,
+    pub adapter_slots: u32,
     /// Room for weights in MB.
     pub weights_mb: f64,
     /// Base models by name.
     pub models: BTreeMap<String, Model>,
     /// Loads of base models that the weight store allows a second, over all
     /// engines.
-    pub loads: Option<f64>,
+    pub load_rate: Option<f64>,
 }
 
 /// A base model.
@@ -128,9 +128,9 @@
     /// Longest body in bytes.
     pub body: usize,
     /// Time for a head to arrive.
-    pub head_time: Span,
+    pub head_timeout: Span,
     /// Time after which an idle connection may be closed.
-    pub idle: Span,
+    pub idle_timeout: Span,
 }
 
 impl Default for Limits {
@@ -139,8 +139,8 @@
         Limits {
             head: 16 << 10,
             body: 4 << 20,
-            head_time: Span::from_secs(5),
-            idle: Span::from_secs(15),
+            head_timeout: Span::from_secs(5),
+            idle_timeout: Span::from_secs(15),
         }
     }
 }
@@ -157,9 +157,9 @@
     /// Tokens (or requests) at once.
     pub burst: u64,
     /// What a request counts that states no tokens.
-    pub plain: u64,
+    pub plain_cost: u64,
     /// Whether rate and burst count tokens, not requests.
-    pub tokens: bool,
+    pub counts_tokens: bool,
 }
 
 /// An upstream as it has registered itself.
@@ -192,7 +192,7 @@
 impl Instance {
     /// Whether another entry has to hear of this one after `before`. What an engine holds
     /// it learns from the daemon beside that engine.
-    pub fn is_news(&self, before: &Instance) -> bool {
+    pub fn needs_report(&self, before: &Instance) -> bool {
         let place = |row: &Instance| (row.service.clone(), row.address, row.zone.clone());
         self.leaving
             || before.leaving
@@ -215,7 +215,7 @@
 /// A loaded base model.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Held {
+pub struct ResidentModel {
     /// Its name.
     pub model: String,
     /// Version of its weights.
@@ -225,7 +225,7 @@
 }
 
 /// The version in which `name` is loaded where `held` is.
-pub fn held_version(held: &[Held], name: &AdapterName) -> Option<u32> {
+pub fn resident_version(held: &[ResidentModel], name: &AdapterName) -> Option<u32> {
     let held = held.iter().find(|held| held.model == name.model)?;
     match &name.adapter {
         Some(adapter) => held.adapters.get(adapter).copied(),
--- a/kingcupbay_core/src/deployment/readings.rs
+++ b/kingcupbay_core/src/deployment/read_positions.rs
@@ -4,7 +4,7 @@
 //! A few entries read ([`super::readers`]) and tell the others in their tallies how far
 //! they have read and what changed. An entry knows a table as of a version of the store;
 //! a [`Reading`] takes it further only if nothing is missing in between. One that has
-//! not been taken further for [`Table::listen`] reads by itself, whoever the readers
+//! not been taken further for [`Table::max_age`] reads by itself, whoever the readers
 //! are and whatever became of them.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -14,7 +14,7 @@
     wire::reading::{Changed, Reading, Table},
 };
 
-use super::waits::{ENTRIES_LISTEN, OPERATOR_LISTEN, SOUND, UPSTREAMS_LISTEN};
+use super::waits::{ENTRIES_AGE_MAX, OPERATOR_AGE_MAX, STORE_ANSWER_MAX, UPSTREAMS_AGE_MAX};
 
 /// Tallies that name a change: one may be lost.
 const TALLIES: u32 = 2;
@@ -24,11 +24,11 @@
 
 impl Table {
     /// How long another entry's reading counts.
-    pub fn listen(self) -> Span {
+    pub fn max_age(self) -> Span {
         match self {
-            Table::Operator => OPERATOR_LISTEN,
-            Table::Upstreams => UPSTREAMS_LISTEN,
-            Table::Entries => ENTRIES_LISTEN,
+            Table::Operator => OPERATOR_AGE_MAX,
+            Table::Upstreams => UPSTREAMS_AGE_MAX,
+            Table::Entries => ENTRIES_AGE_MAX,
         }
     }
 
@@ -58,11 +58,11 @@
 
 /// Every followed table.
 #[derive(Clone, Debug, Default)]
-pub struct Readings {
+pub struct ReadPositions {
     tables: BTreeMap<Table, Progress>,
 }
 
-impl Readings {
+impl ReadPositions {
     /// The version up to which every change of `table` has been taken.
     pub fn known(&self, table: Table) -> u64 {
         self.tables.get(&table).map_or(0, |progress| progress.known)
@@ -94,22 +94,22 @@
     }
 
     /// A change at `version` was read that no tally carries.
-    pub fn on_untold(&mut self, table: Table, version: u64) {
+    pub fn on_unreported(&mut self, table: Table, version: u64) {
         let progress = self.tables.entry(table).or_default();
         progress.since = progress.since.max(version);
     }
 
     /// What the next tally tells: tables that this entry read itself lately.
-    pub fn tell(&mut self, now: Instant) -> BTreeMap<Table, Reading> {
+    pub fn report(&mut self, now: Instant) -> BTreeMap<Table, Reading> {
         let tables = self.tables.iter_mut();
         tables
-            .filter_map(|(&table, progress)| Some((table, progress.tell(now, table.listen())?)))
+            .filter_map(|(&table, progress)| Some((table, progress.tell(now, table.max_age())?)))
             .collect()
     }
 
     /// Takes another entry's reading. What is to be taken over, in order; `None` if
     /// changes are missing in between.
-    pub fn on_reading(
+    pub fn on_position(
         &mut self,
         now: Instant,
         table: Table,
@@ -130,7 +130,7 @@
         // Who told them tells all others too.
         let told = changes.last().map_or(0, |change| change.version);
         progress.since = progress.since.max(told);
-        let age = reading.age + SOUND;
+        let age = reading.age + STORE_ANSWER_MAX;
         let as_of = Instant::from_micros(now.as_micros().saturating_sub(age.as_micros()));
         progress.heard = progress.heard.max(Some(as_of));
         Some(changes)
@@ -138,12 +138,12 @@
 
     /// For how long others' readings of `table` still count; `None` if they do not, or
     /// show that something is missing here.
-    pub fn rest(&self, now: Instant, table: Table) -> Option<Span> {
+    pub fn remaining(&self, now: Instant, table: Table) -> Option<Span> {
         let progress = self.tables.get(&table)?;
         if progress.untold > progress.known {
             return None;
         }
-        let until = progress.heard? + table.listen();
+        let until = progress.heard? + table.max_age();
         (until > now).then(|| until.since(now))
     }
 }
--- a/kingcupbay_core/src/deployment/readers.rs
+++ b/kingcupbay_core/src/deployment/readers.rs
@@ -11,7 +11,7 @@
 /// availability zone, and more where there are few zones. An entry that is not listed
 /// reads too. Lists that differ make more readers or fewer for a while, and an entry
 /// that hears of none reads by itself.
-pub fn reads<'a>(entries: impl Iterator<Item = &'a Member>, host: &str) -> bool {
+pub fn is_reader<'a>(entries: impl Iterator<Item = &'a Member>, host: &str) -> bool {
     let mut zones: BTreeMap<&str, Vec<&Member>> = BTreeMap::new();
     for entry in entries {
         zones.entry(&entry.zone).or_default().push(entry);
--- a/kingcupbay_core/src/health.rs
+++ b/kingcupbay_core/src/health.rs
@@ -20,13 +20,13 @@
 
 /// How an exchange with an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum Exchange {
     /// A whole answer that is no failure.
-    Good,
+    Succeeded,
     /// A failure of its own, or an answer that is not whole.
     Failed,
     /// No connection, or silence.
-    Away,
+    Unreachable,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -61,17 +61,17 @@
     }
 
     /// How an exchange went.
-    pub fn on_ending(&mut self, now: Instant, id: &str, ending: Ending) {
+    pub fn on_exchange(&mut self, now: Instant, id: &str, ending: Exchange) {
         let record = self.records.entry(id.to_owned()).or_default();
         record.failures = record.faded(now);
         record.at = now;
         match ending {
-            Ending::Good => {
+            Exchange::Succeeded => {
                 record.failures *= 0.5;
                 record.away = None;
             }
-            Ending::Failed => record.failures += 1.0,
-            Ending::Away => {
+            Exchange::Failed => record.failures += 1.0,
+            Exchange::Unreachable => {
                 record.failures += 1.0;
                 record.away = Some(now + AWAY);
             }
--- a/kingcupbay_core/src/placement.rs
+++ b/kingcupbay_core/src/placement.rs
@@ -14,7 +14,7 @@
 };
 
 use crate::{
-    deployment::model::{AdapterName, held_version},
+    deployment::model::{AdapterName, resident_version},
     time::{Instant, Span},
     wire::sidecar::Pressure,
 };
@@ -70,7 +70,7 @@
 impl Placement {
     /// Takes what the daemon beside an engine told. Whether it is known by now
     /// what the engine holds.
-    pub fn on_pressure(&mut self, now: Instant, engine: SocketAddr, pressure: Pressure) -> bool {
+    pub fn on_load_report(&mut self, now: Instant, engine: SocketAddr, pressure: Pressure) -> bool {
         let before = self.engines.remove(&engine);
         let held = pressure.held.or_else(|| before.and_then(|seen| seen.pressure.held));
         let known = held.is_some();
@@ -97,8 +97,8 @@
     }
 
     /// The version in which `engine` was last known to hold `name`.
-    pub fn held(&self, engine: SocketAddr, name: &AdapterName) -> Option<u32> {
-        held_version(self.engines.get(&engine)?.pressure.held.as_deref()?, name)
+    pub fn resident_version(&self, engine: SocketAddr, name: &AdapterName) -> Option<u32> {
+        resident_version(self.engines.get(&engine)?.pressure.held.as_deref()?, name)
     }
 
     /// The best of `candidates` for `name`.
@@ -112,7 +112,8 @@
         let order = ranked(name, candidates);
         let busy = |engine: &SocketAddr| self.pressure(now, *engine);
         let less = |a: &SocketAddr, b: &SocketAddr| busy(a).total_cmp(&busy(b));
-        let holders = order.iter().copied().filter(|&engine| self.held(engine, name).is_some());
+        let holders =
+            order.iter().copied().filter(|&engine| self.resident_version(engine, name).is_some());
         // The first holder in the order would take all until it is busy, and
         // prompts for it, or for the base model that all hold, wait for each
         // other meanwhile.
@@ -123,7 +124,7 @@
 
     /// Where to make a copy of `name`, whose holders are all busy; asked for again
     /// only after a while.
-    pub fn copy(
+    pub fn choose_replica(
         &mut self,
         now: Instant,
         name: &AdapterName,
@@ -137,7 +138,7 @@
         let calm = |engine: &SocketAddr| self.pressure(now, *engine) <= bound;
         let (holders, others): (Vec<SocketAddr>, Vec<SocketAddr>) = ranked(name, candidates)
             .into_iter()
-            .partition(|&engine| self.held(engine, name).is_some());
+            .partition(|&engine| self.resident_version(engine, name).is_some());
         if holders.is_empty() || holders.iter().any(calm) {
             return None;
         }
--- a/kingcupbay_core/src/repeat.rs
+++ b/kingcupbay_core/src/repeat.rs
@@ -21,12 +21,12 @@
 
 /// Sends of one service in the last window.
 #[derive(Debug, Default)]
-pub struct Repeats {
+pub struct RepeatBudget {
     firsts: VecDeque<Instant>,
     repeats: VecDeque<Instant>,
 }
 
-impl Repeats {
+impl RepeatBudget {
     /// A request goes to its first upstream.
     pub fn on_first(&mut self, now: Instant) {
         self.firsts.push_back(now);
@@ -34,7 +34,7 @@
 
     /// Whether one of `entries` entries may send a request once more; counts
     /// it if so.
-    pub fn may_repeat(&mut self, now: Instant, limits: &RepeatLimits, entries: usize) -> bool {
+    pub fn try_repeat(&mut self, now: Instant, limits: &RepeatLimits, entries: usize) -> bool {
         for sends in [&mut self.firsts, &mut self.repeats] {
             while sends.front().is_some_and(|&at| now.since(at) > limits.window) {
                 sends.pop_front();
--- a/kingcupbay_core/src/wire/sidecar.rs
+++ b/kingcupbay_core/src/wire/sidecar.rs
@@ -4,7 +4,7 @@
 
 use super::ask::Size;
 use crate::{
-    deployment::model::{AdapterName, Held},
+    deployment::model::{AdapterName, ResidentModel},
     time::Span,
 };
 
@@ -118,5 +118,5 @@
     /// Whether it takes requests.
     pub open: bool,
     /// What it holds; `None` if that was told before.
-    pub held: Option<Vec<Held>>,
+    pub held: Option<Vec<ResidentModel>>,
 }
--- a/kingcupbay_core/tests/admission.rs
+++ b/kingcupbay_core/tests/admission.rs
@@ -10,7 +10,7 @@
         order::{Order, Reply, Target},
         report::{Report, Run},
     },
-    deployment::model::{AdapterName, Engine, Held, Model},
+    deployment::model::{AdapterName, Engine, Model, ResidentModel},
     time::{Instant, Span},
     wire::{
         ask::Size,
@@ -43,7 +43,7 @@
 fn report(orders: u64, adapters: &[(&str, u32)]) -> Report {
     let adapters: BTreeMap<String, u32> =
         adapters.iter().map(|&(name, version)| (name.to_owned(), version)).collect();
-    let held = vec![Held { model: "base".into(), version: 1, adapters }];
+    let held = vec![ResidentModel { model: "base".into(), version: 1, adapters }];
     Report { orders, memory: 100_000, held, ..Report::default() }
 }
 
@@ -63,11 +63,11 @@
     let model = Model { weights_mb: 50.0, adapter_mb: 1.0 };
     admission.on_spec(Engine {
         slots: 8,
-        memory: 100_000,
-        places: 2,
+        kv_tokens: 100_000,
+        adapter_slots: 2,
         weights_mb: 100.0,
         models: [("base".to_owned(), model)].into(),
-        loads: None,
+        load_rate: None,
     });
     admission.on_fencing(7);
     admission
@@ -125,7 +125,7 @@
 #[test]
 fn nothing_is_ordered_without_a_fencing_number() {
     let mut engine = Admission::new("upstream-1");
-    engine.on_spec(Engine { slots: 8, places: 2, ..Engine::default() });
+    engine.on_spec(Engine { slots: 8, adapter_slots: 2, ..Engine::default() });
     engine.on_report(at(0), report(0, &[]));
     let actions = engine.on_want(at(1), Ticket(1), want("a", "roses"));
     assert_eq!(orders(&actions), [] as [&Order; 0]);
@@ -407,7 +407,12 @@
 impl PlayedEngine {
     fn new() -> PlayedEngine {
         let mut admission = engine();
-        admission.on_spec(Engine { slots: 48, memory: 1_000_000, places: 60, ..Engine::default() });
+        admission.on_spec(Engine {
+            slots: 48,
+            kv_tokens: 1_000_000,
+            adapter_slots: 60,
+            ..Engine::default()
+        });
         PlayedEngine {
             admission,
             orders: 0,
--- a/kingcupbay_core/tests/allowance.rs
+++ b/kingcupbay_core/tests/allowance.rs
@@ -30,8 +30,8 @@
         priority: None,
         rate: RATE,
         burst: RATE,
-        plain: 200,
-        tokens: true,
+        plain_cost: 200,
+        counts_tokens: true,
     }
 }
 
@@ -75,7 +75,7 @@
                 while due[index] >= cost as f64 {
                     due[index] -= cost as f64;
                     self.asked += cost;
-                    if entry.ask(at(now), &winery(), cost).is_ok() {
+                    if entry.try_acquire(at(now), &winery(), cost).is_ok() {
                         through += cost;
                     }
                 }
@@ -89,17 +89,17 @@
             let (_, from, tally) = self.on_way.pop_front().unwrap();
             for to in (0..self.entries.len()).filter(|&to| to != from) {
                 if (self.linked)(from, to) {
-                    let known = self.entries[to].on_tally(at(now), tally.clone());
+                    let known = self.entries[to].on_usage_report(at(now), tally.clone());
                     if !known {
-                        self.entries[from].on_unknown();
+                        self.entries[from].on_full_report_request();
                     }
                 }
             }
         }
-        let period = self.entries[0].period().as_millis() / STEP * STEP;
+        let period = self.entries[0].report_period().as_millis() / STEP * STEP;
         if now.is_multiple_of(period) {
             for (from, entry) in self.entries.iter_mut().enumerate() {
-                self.on_way.push_back((now + DELAY, from, entry.tally(at(now), Number(1))));
+                self.on_way.push_back((now + DELAY, from, entry.usage_report(at(now), Number(1))));
             }
         }
     }
@@ -216,8 +216,8 @@
     fleet.play(0, 4_000, 1_500, |_| RATE as f64);
     let mut fresh = Allowance::new("entry-0", 77, at(4_000));
     fresh.on_entries(["entry-0", "entry-1", "entry-2", "entry-3"].into_iter());
-    let part = Tally { whole: false, ..fleet.entries[1].tally(at(4_000), Number(1)) };
-    assert!(!fresh.on_tally(at(4_000), part));
+    let part = Tally { whole: false, ..fleet.entries[1].usage_report(at(4_000), Number(1)) };
+    assert!(!fresh.on_usage_report(at(4_000), part));
     fleet.entries[0] = fresh;
     fleet.through.clear();
     fleet.play(4_000, 20_000, 1_500, |_| RATE as f64);
@@ -234,13 +234,13 @@
     let mut entry = Allowance::new("entry-0", 1, at(0));
     entry.on_entries(["entry-0", "entry-1"].into_iter());
     let names = |entry: &mut Allowance, now| {
-        let tally = entry.tally(at(now), Number(1));
+        let tally = entry.usage_report(at(now), Number(1));
         (tally.whole, tally.uses.into_keys().collect::<Vec<_>>())
     };
-    entry.ask(at(0), &winery(), 500).unwrap();
-    entry.ask(at(0), &other, 500).unwrap();
+    entry.try_acquire(at(0), &winery(), 500).unwrap();
+    entry.try_acquire(at(0), &other, 500).unwrap();
     assert_eq!(names(&mut entry, 100), (true, vec!["drivers".to_owned(), "winery".to_owned()]));
-    entry.ask(at(150), &other, 500).unwrap();
+    entry.try_acquire(at(150), &other, 500).unwrap();
     assert_eq!(names(&mut entry, 200), (false, vec!["drivers".to_owned()]));
     assert_eq!(names(&mut entry, 300), (false, vec![]));
     let whole = (4..12).filter(|tenth| names(&mut entry, tenth * 100).0).count();
@@ -253,9 +253,9 @@
 fn an_entry_off_the_list_admits_nothing() {
     let mut entry = Allowance::new("entry-0", 1, at(0));
     entry.on_entries(["entry-0", "entry-1"].into_iter());
-    assert!(entry.ask(at(10), &winery(), 500).is_ok());
+    assert!(entry.try_acquire(at(10), &winery(), 500).is_ok());
     entry.on_entries(["entry-1"].into_iter());
-    assert!(entry.ask(at(20), &winery(), 500).is_err());
+    assert!(entry.try_acquire(at(20), &winery(), 500).is_err());
 }
 
 /// The burst is lowered below the size of the largest requests. They must still
@@ -265,10 +265,10 @@
     let small = Organisation { rate: 1_000, burst: 1_000, ..winery() };
     let mut entry = Allowance::new("entry-0", 1, at(0));
     entry.on_entries(["entry-0"].into_iter());
-    assert!(entry.ask(at(0), &small, 5_000).is_ok());
-    let over = entry.ask(at(1_000), &small, 100).unwrap_err();
-    assert!(over.after >= Span::from_secs(3), "{over:?}");
-    assert!(entry.ask(at(6_000), &small, 100).is_ok());
+    assert!(entry.try_acquire(at(0), &small, 5_000).is_ok());
+    let over = entry.try_acquire(at(1_000), &small, 100).unwrap_err();
+    assert!(over.retry_after >= Span::from_secs(3), "{over:?}");
+    assert!(entry.try_acquire(at(6_000), &small, 100).is_ok());
 }
 
 /// A request was refused by every upstream. Its tokens come back, or its
@@ -277,8 +277,8 @@
 fn what_did_not_run_is_given_back() {
     let mut entry = Allowance::new("entry-0", 1, at(0));
     entry.on_entries(["entry-0"].into_iter());
-    assert!(entry.ask(at(0), &winery(), RATE).is_ok());
-    assert!(entry.ask(at(0), &winery(), 500).is_err());
-    entry.give_back(at(0), &winery(), RATE);
-    assert!(entry.ask(at(0), &winery(), 500).is_ok());
+    assert!(entry.try_acquire(at(0), &winery(), RATE).is_ok());
+    assert!(entry.try_acquire(at(0), &winery(), 500).is_err());
+    entry.refund(at(0), &winery(), RATE);
+    assert!(entry.try_acquire(at(0), &winery(), 500).is_ok());
 }
--- a/kingcupbay_core/tests/catchup.rs
+++ b/kingcupbay_core/tests/catchup.rs
@@ -17,9 +17,9 @@
         if ends.is_some_and(|end| end <= now) {
             ends = None;
             own = if brings { Number(7) } else { own };
-            catch_up.on_end(at(now), own);
+            catch_up.on_fetch_end(at(now), own);
         }
-        if catch_up.ask(at(now), own, Number(7)) {
+        if catch_up.begin_fetch(at(now), own, Number(7)) {
             assert_eq!(ends, None, "one at a time");
             begun += 1;
             ends = Some(now + takes);
@@ -43,9 +43,9 @@
 #[test]
 fn what_the_feed_brings_is_not_asked_for() {
     let mut catch_up = CatchUp::default();
-    assert!(!catch_up.ask(at(0), Number(5), Number(6)));
-    assert!(!catch_up.ask(at(300), Number(5), Number(6)));
-    assert!(!catch_up.ask(at(500), Number(6), Number(6)));
+    assert!(!catch_up.begin_fetch(at(0), Number(5), Number(6)));
+    assert!(!catch_up.begin_fetch(at(300), Number(5), Number(6)));
+    assert!(!catch_up.begin_fetch(at(500), Number(6), Number(6)));
 }
 
 /// A key was withdrawn while the store is away here: the first second must bring
@@ -55,13 +55,13 @@
     let mut catch_up = CatchUp::default();
     let asked = (0..1_000).step_by(100).find(|&now| {
         // One that lags too says nothing new in between.
-        assert!(!catch_up.ask(at(now), Number(5), Number(4)));
-        catch_up.ask(at(now), Number(5), Number(6))
+        assert!(!catch_up.begin_fetch(at(now), Number(5), Number(4)));
+        catch_up.begin_fetch(at(now), Number(5), Number(6))
     });
     assert_eq!(asked, Some(400));
-    catch_up.on_end(at(500), Number(6));
-    assert!(!catch_up.ask(at(600), Number(6), Number(7)));
-    assert!(catch_up.ask(at(1_000), Number(6), Number(7)));
+    catch_up.on_fetch_end(at(500), Number(6));
+    assert!(!catch_up.begin_fetch(at(600), Number(6), Number(7)));
+    assert!(catch_up.begin_fetch(at(1_000), Number(6), Number(7)));
 }
 
 /// The operator writes three times a second while the store is away here. Each newer
@@ -73,7 +73,7 @@
     let mut catch_up = CatchUp::default();
     let asked = (0..5_000).step_by(100).find(|&now| {
         let theirs = Number(6 + now / 300);
-        catch_up.ask(at(now), Number(5), theirs)
+        catch_up.begin_fetch(at(now), Number(5), theirs)
     });
     assert_eq!(asked, Some(400));
 }
@@ -83,13 +83,14 @@
 #[test]
 fn after_a_fetch_in_vain_another_entry_is_asked_soon() {
     let mut catch_up = CatchUp::default();
-    assert!(!catch_up.ask(at(0), Number(5), Number(6)));
-    assert!(catch_up.ask(at(400), Number(5), Number(6)));
-    catch_up.on_end(at(1_200), Number(5));
+    assert!(!catch_up.begin_fetch(at(0), Number(5), Number(6)));
+    assert!(catch_up.begin_fetch(at(400), Number(5), Number(6)));
+    catch_up.on_fetch_end(at(1_200), Number(5));
     let mut moments = (1_200..3_000).step_by(50);
-    let again = moments.find(|&now| catch_up.ask(at(now), Number(5), Number(6)));
+    let again = moments.find(|&now| catch_up.begin_fetch(at(now), Number(5), Number(6)));
     assert_eq!(again, Some(1_450));
-    catch_up.on_end(at(2_250), Number(5));
-    let again = moments.find(|&now| now >= 2_250 && catch_up.ask(at(now), Number(5), Number(6)));
+    catch_up.on_fetch_end(at(2_250), Number(5));
+    let again =
+        moments.find(|&now| now >= 2_250 && catch_up.begin_fetch(at(now), Number(5), Number(6)));
     assert_eq!(again, Some(2_750), "each time in vain the pause doubles");
 }
--- a/kingcupbay_core/tests/deployment.rs
+++ b/kingcupbay_core/tests/deployment.rs
@@ -26,8 +26,8 @@
         ],
         repeat: Repeat::Idempotent,
         timeout: Span::from_secs(1),
-        aim: Span::from_millis(100),
-        gap: None,
+        latency_target: Span::from_millis(100),
+        event_gap: None,
         attempts: 2,
         priority: 1,
         anonymous: false,
@@ -40,8 +40,8 @@
         priority: None,
         rate: 1,
         burst: 1,
-        plain: 1,
-        tokens: true,
+        plain_cost: 1,
+        counts_tokens: true,
     };
     Deployment {
         number: Number(number),
@@ -71,7 +71,7 @@
     let deployment = deployment(1);
     let route = &deployment.routes[0];
     let known = deployment.caller(route, Some(&KeyHash::of("key")));
-    assert!(matches!(known, Caller::Of(who) if who.name == "winery"));
+    assert!(matches!(known, Caller::Organisation(who) if who.name == "winery"));
     assert_eq!(deployment.caller(route, Some(&KeyHash::of("other"))), Caller::Unknown);
     assert_eq!(deployment.caller(route, None), Caller::Unknown);
 }
@@ -212,19 +212,19 @@
         catalogue.on_instances(at(0), vec![instance("a"), instance("b")], 1, false);
     }
     saw.on_instance_gone(at(100), "a", 2);
-    let told: Vec<_> = (1..=4).map(|n| saw.departures(at(100 * n), false)).collect();
+    let told: Vec<_> = (1..=4).map(|n| saw.departures_to_report(at(100 * n), false)).collect();
     let news = BTreeMap::from([("a".to_owned(), 2)]);
     assert_eq!(told, [news.clone(), news.clone(), news.clone(), BTreeMap::new()]);
-    assert_eq!(saw.departures(at(30_000), true), news);
+    assert_eq!(saw.departures_to_report(at(30_000), true), news);
 
-    assert!(cut.on_left(at(200), "a", 2));
-    assert!(!cut.on_left(at(300), "a", 2), "no news");
+    assert!(cut.on_departure_report(at(200), "a", 2));
+    assert!(!cut.on_departure_report(at(300), "a", 2), "no news");
     assert_eq!(cut.serving("desk").count(), 1);
-    assert_eq!(cut.departures(at(400), true), BTreeMap::new(), "second-hand");
+    assert_eq!(cut.departures_to_report(at(400), true), BTreeMap::new(), "second-hand");
     // After the cut its row is missing, which is no lapse.
     assert_eq!(cut.on_instances(at(900), vec![instance("b")], 3, true), Vec::<String>::new());
     assert_eq!(cut.instances().count(), 1);
-    assert_eq!(saw.departures(at(70_000), true), BTreeMap::new(), "long ago");
+    assert_eq!(saw.departures_to_report(at(70_000), true), BTreeMap::new(), "long ago");
 }
 
 /// A list read anew after dropped history, with the store there all the while,
--- a/kingcupbay_core/tests/engine/mod.rs
+++ b/kingcupbay_core/tests/engine/mod.rs
@@ -7,7 +7,7 @@
         Action, Admission, Ticket,
         report::{Report, Run},
     },
-    deployment::model::{AdapterName, Engine, Held, Model},
+    deployment::model::{AdapterName, Engine, Model, ResidentModel},
     random::Random,
     time::{Instant, Span},
     wire::{
@@ -216,7 +216,7 @@
     };
     Report {
         memory: 129_464,
-        held: vec![Held { model: "base".into(), version: 1, adapters }],
+        held: vec![ResidentModel { model: "base".into(), version: 1, adapters }],
         runs: streams.iter().filter(|(_, stream)| events(stream) > 0).map(run).collect(),
         waiting: streams.values().filter(|stream| events(stream) == 0).count() as u32,
         ..Report::default()
@@ -228,11 +228,11 @@
     let model = Model { weights_mb: 50.0, adapter_mb: 1.0 };
     admission.on_spec(Engine {
         slots: 64,
-        memory: 129_464,
-        places: 21,
+        kv_tokens: 129_464,
+        adapter_slots: 21,
         weights_mb: 100.0,
         models: [("base".to_owned(), model)].into(),
-        loads: None,
+        load_rate: None,
     });
     admission.on_fencing(7);
     admission
--- a/kingcupbay_core/tests/fates.rs
+++ b/kingcupbay_core/tests/fates.rs
@@ -8,7 +8,7 @@
         Action, Admission, Ticket,
         report::{Report, Run},
     },
-    deployment::model::{AdapterName, Engine, Held},
+    deployment::model::{AdapterName, Engine, ResidentModel},
     time::{Instant, Span},
     wire::{
         ask::Size,
@@ -102,9 +102,14 @@
 /// Plays three requests with these fates for six seconds of reports.
 fn play(fates: &[Fate; 3]) -> Admission {
     let mut engine = Admission::new("upstream-1");
-    engine.on_spec(Engine { slots: SLOTS, memory: 100_000, places: 2, ..Engine::default() });
+    engine.on_spec(Engine {
+        slots: SLOTS,
+        kv_tokens: 100_000,
+        adapter_slots: 2,
+        ..Engine::default()
+    });
     let adapters = [("roses".to_owned(), 1)].into();
-    let held = vec![Held { model: "base".into(), version: 1, adapters }];
+    let held = vec![ResidentModel { model: "base".into(), version: 1, adapters }];
     let empty = Report { memory: 100_000, held, ..Report::default() };
     engine.on_report(at(0), empty.clone());
     for (index, fate) in fates.iter().enumerate() {
--- a/kingcupbay_core/tests/placement.rs
+++ b/kingcupbay_core/tests/placement.rs
@@ -5,10 +5,10 @@
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use kingcupbay_core::{
-    deployment::model::{AdapterName, Held},
-    health::{Ending, Health},
+    deployment::model::{AdapterName, ResidentModel},
+    health::{Exchange, Health},
     placement::Placement,
-    repeat::{RepeatLimits, Repeats},
+    repeat::{RepeatBudget, RepeatLimits},
     time::{Instant, Span},
     wire::sidecar::Pressure,
 };
@@ -27,7 +27,7 @@
 
 fn pressure(running: u32, held: &[u32]) -> Pressure {
     let adapters = held.iter().map(|adapter| (format!("a{adapter}"), 1)).collect();
-    let held = vec![Held { model: "base".into(), version: 1, adapters }];
+    let held = vec![ResidentModel { model: "base".into(), version: 1, adapters }];
     Pressure { running, slots: 48, open: true, held: Some(held), ..Pressure::default() }
 }
 
@@ -71,7 +71,7 @@
     let home = placement.choose(at(0), &name(1), &engines).unwrap();
     for &engine in &engines {
         let running = if engine == home { 40 } else { 4 };
-        placement.on_pressure(at(0), engine, pressure(running, &[1]));
+        placement.on_load_report(at(0), engine, pressure(running, &[1]));
     }
     assert_ne!(placement.choose(at(10), &name(1), &engines), Some(home));
 }
@@ -84,7 +84,7 @@
     let engines = engines(6);
     let mut placement = Placement::default();
     for &engine in &engines[..3] {
-        placement.on_pressure(at(0), engine, pressure(2, &[1]));
+        placement.on_load_report(at(0), engine, pressure(2, &[1]));
     }
     let mut sent: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     for _ in 0..12 {
@@ -102,7 +102,7 @@
     let mut placement = Placement::default();
     for (at_engine, &engine) in engines.iter().enumerate() {
         let running = [9, 3, 8, 7][at_engine];
-        placement.on_pressure(at(0), engine, pressure(running, &[]));
+        placement.on_load_report(at(0), engine, pressure(running, &[]));
     }
     let base = AdapterName { model: "base".into(), adapter: None };
     assert_eq!(placement.choose(at(10), &base, &engines), Some(engines[1]));
@@ -118,13 +118,13 @@
     let home = placement.choose(at(0), &name(1), &engines).unwrap();
     for &engine in &engines {
         let (running, held) = if engine == home { (40, &[1][..]) } else { (4, &[][..]) };
-        placement.on_pressure(at(0), engine, pressure(running, held));
+        placement.on_load_report(at(0), engine, pressure(running, held));
     }
     assert_eq!(placement.choose(at(10), &name(1), &engines), Some(home));
-    let copy = placement.copy(at(10), &name(1), &engines);
+    let copy = placement.choose_replica(at(10), &name(1), &engines);
     assert!(copy.is_some_and(|engine| engine != home), "{copy:?}");
-    assert_eq!(placement.copy(at(20), &name(1), &engines), None);
-    assert_eq!(placement.copy(at(1_100), &name(1), &engines), copy);
+    assert_eq!(placement.choose_replica(at(20), &name(1), &engines), None);
+    assert_eq!(placement.choose_replica(at(1_100), &name(1), &engines), copy);
 }
 
 /// A holder whose places are all taken is no use to anybody: the next engine loads
@@ -134,10 +134,10 @@
     let engines = engines(4);
     let mut placement = Placement::default();
     let home = placement.choose(at(0), &name(1), &engines).unwrap();
-    assert_eq!(placement.copy(at(0), &name(1), &engines), None);
+    assert_eq!(placement.choose_replica(at(0), &name(1), &engines), None);
     for &engine in &engines {
         let (running, held) = if engine == home { (60, &[1][..]) } else { (4, &[][..]) };
-        placement.on_pressure(at(0), engine, pressure(running, held));
+        placement.on_load_report(at(0), engine, pressure(running, held));
     }
     assert_ne!(placement.choose(at(10), &name(1), &engines), Some(home));
 }
@@ -149,7 +149,7 @@
     let mut placement = Placement::default();
     let home = placement.choose(at(0), &name(1), &engines).unwrap();
     let holder = *engines.iter().find(|&&engine| engine != home).unwrap();
-    placement.on_pressure(at(0), holder, pressure(2, &[1]));
+    placement.on_load_report(at(0), holder, pressure(2, &[1]));
     assert_eq!(placement.choose(at(10), &name(1), &engines), Some(holder));
 }
 
@@ -159,7 +159,7 @@
 fn a_failing_upstream_is_tried_last() {
     let mut health = Health::default();
     for draw in 0..20 {
-        health.on_ending(at(draw), "grey", Ending::Failed);
+        health.on_exchange(at(draw), "grey", Exchange::Failed);
     }
     let pick = |health: &Health, now, draw| {
         health.choose(now, ["grey", "good"].into_iter(), draw).unwrap().to_owned()
@@ -173,11 +173,11 @@
 #[test]
 fn repeats_keep_to_their_part_of_the_requests() {
     let limits = RepeatLimits { ratio: 0.2, slack: 50.0, window: Span::from_secs(10) };
-    let mut repeats = Repeats::default();
+    let mut repeats = RepeatBudget::default();
     let mut sent = 0;
     for millis in (0..10_000).step_by(10) {
         repeats.on_first(at(millis));
-        sent += u32::from(repeats.may_repeat(at(millis), &limits, 4));
+        sent += u32::from(repeats.try_repeat(at(millis), &limits, 4));
     }
     assert!(sent <= 200 + 12, "{sent}");
     assert!(sent >= 100, "{sent}");
--- a/kingcupbay_core/tests/readings.rs
+++ b/kingcupbay_core/tests/read_positions.rs
@@ -6,7 +6,7 @@
 
 use kingcupbay_core::{
     config::model::Role,
-    deployment::{catalogue::Member, readers::reads, readings::Readings},
+    deployment::{catalogue::Member, read_positions::ReadPositions, readers::is_reader},
     time::{Instant, Span},
     wire::reading::{Changed, Reading, Table, What},
 };
@@ -22,14 +22,14 @@
 }
 
 /// A reader that knows the upstreams as of `version`.
-fn reader(version: u64) -> Readings {
-    let mut readings = Readings::default();
+fn reader(version: u64) -> ReadPositions {
+    let mut readings = ReadPositions::default();
     readings.on_list(at(0), UPSTREAMS, version, version);
     readings
 }
 
-fn tell(readings: &mut Readings, now: Instant) -> Reading {
-    readings.tell(now).remove(&UPSTREAMS).unwrap()
+fn tell(readings: &mut ReadPositions, now: Instant) -> Reading {
+    readings.report(now).remove(&UPSTREAMS).unwrap()
 }
 
 fn versions(changes: &[Changed]) -> Vec<u64> {
@@ -53,25 +53,25 @@
             |n: u64| entry(&format!("zone-{}", n % zones), &format!("entry-{n}"), 1_000 - n);
         let members: Vec<Member> = (0..zones * each).map(member).collect();
         let reading: Vec<&Member> =
-            members.iter().filter(|member| reads(members.iter(), &member.host)).collect();
+            members.iter().filter(|member| is_reader(members.iter(), &member.host)).collect();
         assert_eq!(reading.len(), readers, "{zones} zones of {each}");
         let mut covered = BTreeMap::new();
         reading.iter().for_each(|member| *covered.entry(&member.zone).or_insert(0) += 1);
         assert_eq!(covered.len() as u64, zones);
-        assert!(reads(members.iter(), "entry-unlisted"));
+        assert!(is_reader(members.iter(), "entry-unlisted"));
     }
 }
 
 #[test]
 fn a_listener_takes_over_what_a_reader_tells() {
     let mut reader = reader(10);
-    let mut listener = Readings::default();
+    let mut listener = ReadPositions::default();
     listener.on_list(at(0), UPSTREAMS, 12, 12);
     reader.on_page(at(100), UPSTREAMS, 20, [gone(11), gone(15), gone(19)]);
-    let taken = listener.on_reading(at(110), UPSTREAMS, tell(&mut reader, at(105)));
+    let taken = listener.on_position(at(110), UPSTREAMS, tell(&mut reader, at(105)));
     assert_eq!(versions(&taken.unwrap()), [15, 19]);
     assert_eq!(listener.known(UPSTREAMS), 20);
-    let again = listener.on_reading(at(450), UPSTREAMS, tell(&mut reader, at(440)));
+    let again = listener.on_position(at(450), UPSTREAMS, tell(&mut reader, at(440)));
     assert_eq!(versions(&again.unwrap()), [0; 0]);
 }
 
@@ -79,11 +79,11 @@
 #[test]
 fn one_lost_tally_hides_nothing() {
     let mut reader = reader(10);
-    let mut listener = Readings::default();
+    let mut listener = ReadPositions::default();
     listener.on_list(at(0), UPSTREAMS, 10, 10);
     reader.on_page(at(100), UPSTREAMS, 20, [gone(15)]);
     drop(tell(&mut reader, at(110)));
-    let taken = listener.on_reading(at(450), UPSTREAMS, tell(&mut reader, at(450)));
+    let taken = listener.on_position(at(450), UPSTREAMS, tell(&mut reader, at(450)));
     assert_eq!(versions(&taken.unwrap()), [15]);
 }
 
@@ -92,20 +92,20 @@
 #[test]
 fn a_listener_that_missed_changes_reads_by_itself() {
     let mut reader = reader(10);
-    let mut listener = Readings::default();
+    let mut listener = ReadPositions::default();
     listener.on_list(at(0), UPSTREAMS, 10, 10);
-    assert!(listener.on_reading(at(0), UPSTREAMS, tell(&mut reader, at(0))).is_some());
+    assert!(listener.on_position(at(0), UPSTREAMS, tell(&mut reader, at(0))).is_some());
     reader.on_page(at(100), UPSTREAMS, 20, [gone(15)]);
     for now in [110, 450] {
         drop(tell(&mut reader, at(now)));
     }
     for now in (800..3_000).step_by(300) {
         reader.on_page(at(now), UPSTREAMS, now, []);
-        assert!(listener.on_reading(at(now), UPSTREAMS, tell(&mut reader, at(now))).is_none());
+        assert!(listener.on_position(at(now), UPSTREAMS, tell(&mut reader, at(now))).is_none());
     }
     assert_eq!(listener.known(UPSTREAMS), 10);
-    let over = at(UPSTREAMS.listen().as_millis());
-    assert_eq!(listener.rest(over, UPSTREAMS), None);
+    let over = at(UPSTREAMS.max_age().as_millis());
+    assert_eq!(listener.remaining(over, UPSTREAMS), None);
 }
 
 /// All engines register at once after a restart, more than a tally holds: what it leaves
@@ -113,16 +113,16 @@
 #[test]
 fn changes_that_do_not_fit_are_read_at_once() {
     let mut reader = reader(10);
-    let mut listener = Readings::default();
+    let mut listener = ReadPositions::default();
     listener.on_list(at(0), UPSTREAMS, 10, 10);
-    assert!(listener.on_reading(at(10), UPSTREAMS, tell(&mut reader, at(10))).is_some());
-    assert!(listener.rest(at(10), UPSTREAMS).is_some());
+    assert!(listener.on_position(at(10), UPSTREAMS, tell(&mut reader, at(10))).is_some());
+    assert!(listener.remaining(at(10), UPSTREAMS).is_some());
     reader.on_page(at(100), UPSTREAMS, 99, (11..90).map(gone));
     let reading = tell(&mut reader, at(110));
     assert!(reading.changes.len() < 79);
-    assert!(listener.on_reading(at(110), UPSTREAMS, reading).is_none());
+    assert!(listener.on_position(at(110), UPSTREAMS, reading).is_none());
     assert_eq!(listener.known(UPSTREAMS), 10);
-    assert_eq!(listener.rest(at(110), UPSTREAMS), None);
+    assert_eq!(listener.remaining(at(110), UPSTREAMS), None);
 }
 
 /// A reader is frozen, killed or cut off from the store: what it read last grows old,
@@ -130,14 +130,14 @@
 #[test]
 fn an_old_reading_counts_for_nothing() {
     let mut reader = reader(10);
-    let mut listener = Readings::default();
+    let mut listener = ReadPositions::default();
     listener.on_list(at(0), UPSTREAMS, 10, 10);
-    let limit = UPSTREAMS.listen().as_millis();
+    let limit = UPSTREAMS.max_age().as_millis();
     let reading = tell(&mut reader, at(limit - 200));
-    assert!(listener.on_reading(at(limit - 200), UPSTREAMS, reading).is_some());
-    assert!(listener.rest(at(limit - 200), UPSTREAMS).is_some());
-    assert_eq!(listener.rest(at(limit), UPSTREAMS), None);
-    assert!(reader.tell(at(limit + 1)).is_empty());
+    assert!(listener.on_position(at(limit - 200), UPSTREAMS, reading).is_some());
+    assert!(listener.remaining(at(limit - 200), UPSTREAMS).is_some());
+    assert_eq!(listener.remaining(at(limit), UPSTREAMS), None);
+    assert!(reader.report(at(limit + 1)).is_empty());
 }
 
 /// A read of the store lags behind what another reader told: passed on as new, it kept
@@ -146,7 +146,7 @@
 fn a_read_that_lags_is_not_told() {
     let mut reader = reader(10);
     let newer = Reading { version: 30, age: Span::ZERO, since: 10, changes: Vec::new() };
-    assert!(reader.on_reading(at(100), UPSTREAMS, newer).is_some());
+    assert!(reader.on_position(at(100), UPSTREAMS, newer).is_some());
     reader.on_page(at(200), UPSTREAMS, 20, []);
     let told = tell(&mut reader, at(300));
     assert_eq!((told.version, told.age), (10, Span::from_millis(300)));
@@ -159,43 +159,43 @@
 fn a_reader_claims_nothing_that_another_one_told() {
     let (mut first, mut second, mut listener) = (reader(10), reader(10), reader(10));
     first.on_page(at(100), UPSTREAMS, 20, [gone(15)]);
-    let told = second.on_reading(at(110), UPSTREAMS, tell(&mut first, at(110)));
+    let told = second.on_position(at(110), UPSTREAMS, tell(&mut first, at(110)));
     assert_eq!(versions(&told.unwrap()), [15]);
     second.on_page(at(200), UPSTREAMS, 30, [gone(25)]);
     let reading = tell(&mut second, at(210));
-    assert!(listener.on_reading(at(210), UPSTREAMS, reading.clone()).is_none());
+    assert!(listener.on_position(at(210), UPSTREAMS, reading.clone()).is_none());
     let repeated = tell(&mut first, at(450));
-    assert_eq!(versions(&listener.on_reading(at(450), UPSTREAMS, repeated).unwrap()), [15]);
-    assert_eq!(versions(&listener.on_reading(at(460), UPSTREAMS, reading).unwrap()), [25]);
+    assert_eq!(versions(&listener.on_position(at(450), UPSTREAMS, repeated).unwrap()), [15]);
+    assert_eq!(versions(&listener.on_position(at(460), UPSTREAMS, reading).unwrap()), [25]);
 }
 
 /// A newer configuration is too long for a tally: a listener that hears of it reads at
 /// once, and does not wait until the reading is old.
 #[test]
 fn a_newer_configuration_is_read_at_once() {
-    let mut reader = Readings::default();
-    let mut listener = Readings::default();
+    let mut reader = ReadPositions::default();
+    let mut listener = ReadPositions::default();
     for readings in [&mut reader, &mut listener] {
         readings.on_list(at(0), Table::Operator, 10, 5);
     }
-    let mut told = reader.tell(at(10));
+    let mut told = reader.report(at(10));
     assert!(
         listener
-            .on_reading(at(10), Table::Operator, told.remove(&Table::Operator).unwrap())
+            .on_position(at(10), Table::Operator, told.remove(&Table::Operator).unwrap())
             .is_some()
     );
-    assert!(listener.rest(at(10), Table::Operator).is_some());
+    assert!(listener.remaining(at(10), Table::Operator).is_some());
     reader.on_page(at(20), Table::Operator, 20, []);
-    reader.on_untold(Table::Operator, 19);
-    let mut told = reader.tell(at(30));
+    reader.on_unreported(Table::Operator, 19);
+    let mut told = reader.report(at(30));
     assert!(
         listener
-            .on_reading(at(30), Table::Operator, told.remove(&Table::Operator).unwrap())
+            .on_position(at(30), Table::Operator, told.remove(&Table::Operator).unwrap())
             .is_none()
     );
-    assert_eq!(listener.rest(at(30), Table::Operator), None);
+    assert_eq!(listener.remaining(at(30), Table::Operator), None);
     listener.on_page(at(40), Table::Operator, 20, []);
-    assert!(listener.rest(at(40), Table::Operator).is_some());
+    assert!(listener.remaining(at(40), Table::Operator).is_some());
 }
 
 /// Readers and listeners in any order of reads, tallies, losses and restarts: no listener
@@ -206,7 +206,7 @@
         let mut draw = draws(seed);
         let mut store: Vec<u64> = Vec::new();
         let mut newest = 1;
-        let mut entries: Vec<(Readings, Vec<u64>)> = Vec::new();
+        let mut entries: Vec<(ReadPositions, Vec<u64>)> = Vec::new();
         for _ in 0..4 {
             entries.push((reader(1), Vec::new()));
         }
@@ -221,7 +221,7 @@
             match draw(9) {
                 0..=2 => read(now, &mut entries[who], &store, newest),
                 3..=5 => {
-                    let told = entries[who].0.tell(now);
+                    let told = entries[who].0.report(now);
                     for other in (0..4).filter(|&other| other != who) {
                         if draw(3) > 0 {
                             hear(now, &mut entries[other], &told);
@@ -229,7 +229,7 @@
                     }
                 }
                 6 => {
-                    entries[who] = (Readings::default(), store.clone());
+                    entries[who] = (ReadPositions::default(), store.clone());
                     entries[who].0.on_list(now, UPSTREAMS, newest, newest);
                 }
                 _ => {}
@@ -243,7 +243,7 @@
     }
 }
 
-fn read(now: Instant, entry: &mut (Readings, Vec<u64>), store: &[u64], newest: u64) {
+fn read(now: Instant, entry: &mut (ReadPositions, Vec<u64>), store: &[u64], newest: u64) {
     let known = entry.0.known(UPSTREAMS);
     let changes: Vec<Changed> =
         store.iter().filter(|&&seen| seen > known).map(|&seen| gone(seen)).collect();
@@ -251,9 +251,9 @@
     entry.0.on_page(now, UPSTREAMS, newest, changes);
 }
 
-fn hear(now: Instant, entry: &mut (Readings, Vec<u64>), told: &BTreeMap<Table, Reading>) {
+fn hear(now: Instant, entry: &mut (ReadPositions, Vec<u64>), told: &BTreeMap<Table, Reading>) {
     for (&table, reading) in told {
-        if let Some(changes) = entry.0.on_reading(now, table, reading.clone()) {
+        if let Some(changes) = entry.0.on_position(now, table, reading.clone()) {
             entry.1.extend(versions(&changes));
         }
     }
--- a/kingcupbay_core/tests/told.rs
+++ b/kingcupbay_core/tests/told.rs
@@ -4,7 +4,7 @@
 
 use kingcupbay_core::{
     admission::told::Told,
-    deployment::model::{AdapterName, Held},
+    deployment::model::{AdapterName, ResidentModel},
     placement::Placement,
     time::{Instant, Span},
     wire::sidecar::Pressure,
@@ -16,7 +16,7 @@
 
 fn pressure(running: u32, adapters: &[(&str, u32)]) -> Pressure {
     let adapters = adapters.iter().map(|&(name, version)| (name.to_owned(), version)).collect();
-    let held = vec![Held { model: "base".into(), version: 1, adapters }];
+    let held = vec![ResidentModel { model: "base".into(), version: 1, adapters }];
     Pressure { running, slots: 64, open: true, held: Some(held), ..Pressure::default() }
 }
 
@@ -75,9 +75,9 @@
     let engine = "127.0.0.1:1".parse().unwrap();
     let mut entry = Placement::default();
     let heartbeat = told.next(at(1_000), &held).unwrap();
-    told.on_answer(at(1_000), entry.on_pressure(at(1_001), engine, heartbeat));
+    told.on_answer(at(1_000), entry.on_load_report(at(1_001), engine, heartbeat));
     let whole = told.next(at(1_250), &held).unwrap();
-    assert!(entry.on_pressure(at(1_251), engine, whole));
+    assert!(entry.on_load_report(at(1_251), engine, whole));
     let roses = AdapterName { model: "base".into(), adapter: Some("roses".into()) };
-    assert_eq!(entry.held(engine, &roses), Some(1));
+    assert_eq!(entry.resident_version(engine, &roses), Some(1));
 }
--- a/kingcupbay_core/tests/waits.rs
+++ b/kingcupbay_core/tests/waits.rs
@@ -3,9 +3,10 @@
 use kingcupbay_core::{
     allowance::Allowance,
     deployment::waits::{
-        ANSWER, ENTRIES_LISTEN, ENTRY_FEED, FETCH, FETCH_PAUSE, KNOWN, MEMBERS_FEED,
-        OPERATOR_LISTEN, OPERATOR_PAUSE, OTHER_PAUSE, OWN_FEED, RETRY_MIN, SOUND, STEADY,
-        UPSTREAMS_FEED, UPSTREAMS_LISTEN,
+        ENTRIES_AGE_MAX, ENTRIES_FEED_WAIT, FETCH_PAUSE_MIN, FETCH_TIMEOUT, OPERATOR_AGE_MAX,
+        OPERATOR_FEED_PAUSE, OPERATOR_FEED_WAIT, OTHER_FEED_PAUSE, OWN_FEED_DELAY, PROPAGATION_MAX,
+        RECOVERY_MAX, RETRY_PAUSE_MIN, STORE_ANSWER_MAX, STORE_CALL_TIMEOUT, UPSTREAMS_AGE_MAX,
+        UPSTREAMS_FEED_WAIT,
     },
     time::{Instant, Span},
 };
@@ -21,7 +22,7 @@
     let mut allowance = Allowance::new("entry-0", 1, Instant::default());
     let hosts: Vec<String> = (0..entries).map(|n| format!("entry-{n}")).collect();
     allowance.on_entries(hosts.iter().map(String::as_str));
-    allowance.period()
+    allowance.report_period()
 }
 
 fn sum(waits: &[Span]) -> Span {
@@ -34,19 +35,27 @@
 #[test]
 fn a_change_is_known_in_time() {
     let ways = [
-        ("a configuration, by the feed", vec![OPERATOR_PAUSE, SOUND]),
-        ("an upstream that leaves, by the feed", vec![OTHER_PAUSE, SOUND]),
+        ("a configuration, by the feed", vec![OPERATOR_FEED_PAUSE, STORE_ANSWER_MAX]),
+        ("an upstream that leaves, by the feed", vec![OTHER_FEED_PAUSE, STORE_ANSWER_MAX]),
         (
             "a configuration, from the second entry asked, as the first did not answer",
-            vec![OPERATOR_PAUSE, SOUND, tally(ENTRIES), OWN_FEED, FETCH, FETCH_PAUSE, FETCHED],
+            vec![
+                OPERATOR_FEED_PAUSE,
+                STORE_ANSWER_MAX,
+                tally(ENTRIES),
+                OWN_FEED_DELAY,
+                FETCH_TIMEOUT,
+                FETCH_PAUSE_MIN,
+                FETCHED,
+            ],
         ),
         (
             "an upstream that leaves, by the second tally, as the first was lost",
-            vec![OTHER_PAUSE, SOUND, tally(ENTRIES), tally(ENTRIES)],
+            vec![OTHER_FEED_PAUSE, STORE_ANSWER_MAX, tally(ENTRIES), tally(ENTRIES)],
         ),
     ];
     for (way, waits) in ways {
-        assert!(sum(&waits) <= KNOWN, "{way}: {:?}", sum(&waits));
+        assert!(sum(&waits) <= PROPAGATION_MAX, "{way}: {:?}", sum(&waits));
     }
 }
 
@@ -54,8 +63,8 @@
 /// is given up, and the table read anew, before the bounds hold again.
 #[test]
 fn a_dead_feed_is_over_before_the_bounds_hold_again() {
-    let dead = sum(&[ENTRY_FEED, ANSWER, RETRY_MIN, SOUND]);
-    assert!(dead <= STEADY, "{dead:?}");
+    let dead = sum(&[OPERATOR_FEED_WAIT, STORE_CALL_TIMEOUT, RETRY_PAUSE_MIN, STORE_ANSWER_MAX]);
+    assert!(dead <= RECOVERY_MAX, "{dead:?}");
 }
 
 /// A listener hears from readers what the store would have told it. Whatever becomes of
@@ -64,10 +73,10 @@
 #[test]
 fn a_listener_knows_in_time_without_readers() {
     // As of the reader's answer, which comes one answer's time after the store's.
-    let waits = [UPSTREAMS_LISTEN, SOUND, SOUND];
-    assert!(sum(&waits) <= KNOWN, "{:?}", sum(&waits));
-    let dead = sum(&[OPERATOR_LISTEN, RETRY_MIN, SOUND]);
-    assert!(dead <= STEADY, "{dead:?}");
+    let waits = [UPSTREAMS_AGE_MAX, STORE_ANSWER_MAX, STORE_ANSWER_MAX];
+    assert!(sum(&waits) <= PROPAGATION_MAX, "{:?}", sum(&waits));
+    let dead = sum(&[OPERATOR_AGE_MAX, RETRY_PAUSE_MIN, STORE_ANSWER_MAX]);
+    assert!(dead <= RECOVERY_MAX, "{dead:?}");
 }
 
 /// Readers that do their work keep the others from reading: from one of their answers to
@@ -76,9 +85,9 @@
 #[test]
 fn readers_that_work_are_enough() {
     let gaps = [
-        (UPSTREAMS_LISTEN, [OTHER_PAUSE, UPSTREAMS_FEED]),
-        (ENTRIES_LISTEN, [OTHER_PAUSE, MEMBERS_FEED]),
-        (OPERATOR_LISTEN, [OPERATOR_PAUSE, ENTRY_FEED]),
+        (UPSTREAMS_AGE_MAX, [OTHER_FEED_PAUSE, UPSTREAMS_FEED_WAIT]),
+        (ENTRIES_AGE_MAX, [OTHER_FEED_PAUSE, ENTRIES_FEED_WAIT]),
+        (OPERATOR_AGE_MAX, [OPERATOR_FEED_PAUSE, OPERATOR_FEED_WAIT]),
     ];
     for (listen, gap) in gaps {
         for entries in [4, 27, 68] {
--- a/kingcupbayd/src/gateway/generate.rs
+++ b/kingcupbayd/src/gateway/generate.rs
@@ -5,7 +5,7 @@
 use actix_http::{Response, body::BoxBody};
 use kingcupbay_core::{
     deployment::model::{AdapterName, Instance, Repeat},
-    health::Ending,
+    health::Exchange,
     time::Span,
     wire::{
         error::Code,
@@ -172,7 +172,7 @@
     let engine =
         placement.choose(now, name, &best).or_else(|| placement.choose(now, name, &all()))?;
     drop(placement);
-    if let Some(at) = gateway.placement.borrow_mut().copy(now, name, &best) {
+    if let Some(at) = gateway.placement.borrow_mut().choose_replica(now, name, &best) {
         drop(actix_rt::spawn(place::copy(gateway.clone(), at, name.clone())));
     }
     free.into_iter().find(|row| row.address == engine).cloned()
@@ -191,7 +191,7 @@
     let now = clock::now();
     let lost = gateway.health.borrow().is_suspect(now, &place::sidecar_id(engine));
     let waited = now.since(job.arrived);
-    let aim = Span::from_micros(job.route.aim.as_micros() * PATIENCE);
+    let aim = Span::from_micros(job.route.latency_target.as_micros() * PATIENCE);
     let patience = aim.saturating_sub(waited).max(PATIENCE_MIN).min(job.left());
     let asked = match lost {
         true => None,
@@ -211,7 +211,7 @@
             Err(matches!(why, Closed::Busy | Closed::Unready).then_some(after))
         }
         None => {
-            let held = gateway.placement.borrow().held(engine, name);
+            let held = gateway.placement.borrow().resident_version(engine, name);
             let newest = gateway.node.catalogue.borrow().version(name);
             match held {
                 Some(held) => Ok((Some(newest.unwrap_or(held)), None)),
@@ -226,7 +226,7 @@
 async fn run(job: &Job, instance: &Instance, extra: Extra) -> Result<Sent, LinkError> {
     let mut time = job.left();
     if job.route.repeat == Repeat::Resumable {
-        time = time.min(Span::from_micros(job.route.aim.as_micros() * STUCK));
+        time = time.min(Span::from_micros(job.route.latency_target.as_micros() * STUCK));
     }
     match tokio::time::timeout(time.into(), send::send(job, instance, extra)).await {
         Ok(sent) => sent,
@@ -249,8 +249,8 @@
 fn on_error(job: &Job, instance: &Instance, error: &LinkError) {
     let now = clock::now();
     let away = matches!(error, LinkError::Unsent(_) | LinkError::Silent);
-    let ending = if away { Ending::Away } else { Ending::Failed };
-    job.gateway.health.borrow_mut().on_ending(now, &instance.id, ending);
+    let ending = if away { Exchange::Unreachable } else { Exchange::Failed };
+    job.gateway.health.borrow_mut().on_exchange(now, &instance.id, ending);
     if away {
         job.gateway.node.pool.forget(instance.address);
     }
--- a/kingcupbayd/src/gateway/job.rs
+++ b/kingcupbayd/src/gateway/job.rs
@@ -65,7 +65,7 @@
     pub(crate) fn give_back(&self) {
         if let Some(who) = &self.who {
             let now = clock::now();
-            self.gateway.allowance.borrow_mut().give_back(now, who, self.cost);
+            self.gateway.allowance.borrow_mut().refund(now, who, self.cost);
         }
     }
 }
--- a/kingcupbayd/src/gateway/mod.rs
+++ b/kingcupbayd/src/gateway/mod.rs
@@ -35,7 +35,7 @@
     },
     health::Health,
     placement::Placement,
-    repeat::Repeats,
+    repeat::RepeatBudget,
     time::Span,
     wire::{ask::Ask, error::Code, sidecar::Pressure},
 };
@@ -69,7 +69,7 @@
     pub(crate) health: RefCell<Health>,
     pub(crate) backlog: RefCell<Backlog>,
     /// Sends of each service.
-    pub(crate) repeats: RefCell<BTreeMap<String, Repeats>>,
+    pub(crate) repeats: RefCell<BTreeMap<String, RepeatBudget>>,
     /// Entries that did not take the last tally.
     pub(crate) deaf: RefCell<BTreeSet<SocketAddr>>,
     pub(crate) catch_up: RefCell<CatchUp>,
@@ -107,14 +107,14 @@
         let entries = self.allowance.borrow().entries();
         let mut repeats = self.repeats.borrow_mut();
         let repeats = repeats.entry(service.to_owned()).or_default();
-        repeats.may_repeat(clock::now(), &self.node.registry.repeats, entries)
+        repeats.try_repeat(clock::now(), &self.node.registry.repeats, entries)
     }
 
     /// Takes what the daemon beside an engine told. Whether it is known by now
     /// what the engine holds.
     pub(crate) fn on_pressure(&self, pressure: Pressure) -> bool {
         let Some(engine) = pressure.engine else { return true };
-        self.placement.borrow_mut().on_pressure(clock::now(), engine, pressure)
+        self.placement.borrow_mut().on_load_report(clock::now(), engine, pressure)
     }
 }
 
@@ -215,7 +215,7 @@
         return Err(Refusal::plain(Code::NotFound, "no route"));
     };
     match deployment.caller(route, ask.key.as_ref()) {
-        Caller::Of(who) => Ok((route.clone(), Some(who))),
+        Caller::Organisation(who) => Ok((route.clone(), Some(who))),
         Caller::Anonymous => Ok((route.clone(), None)),
         Caller::Unknown => Err(Refusal::plain(Code::BadKey, "the key is unknown")),
     }
@@ -233,9 +233,9 @@
 }
 
 fn cost(who: &Organisation, ask: &Ask) -> u64 {
-    match (who.tokens, ask.size) {
+    match (who.counts_tokens, ask.size) {
         (true, Some(size)) => size.total(),
-        (true, None) => who.plain,
+        (true, None) => who.plain_cost,
         (false, _) => 1,
     }
 }
@@ -244,12 +244,12 @@
 fn take_tokens(job: &Job) -> Result<(), Refusal> {
     let Some(who) = &job.who else { return Ok(()) };
     let now = clock::now();
-    let asked = job.gateway.allowance.borrow_mut().ask(now, who, job.cost);
+    let asked = job.gateway.allowance.borrow_mut().try_acquire(now, who, job.cost);
     asked.map_err(|over| {
         info!(job.gateway.node.log, ""; "event" => "over_rate", "request" => &job.ask.attempt,
             "organisation" => &who.name, "cost" => job.cost, "rate" => who.rate,
-            "after_ms" => over.after.as_millis());
-        Refusal::retry(Code::OverRate, "over the rate", over.after)
+            "after_ms" => over.retry_after.as_millis());
+        Refusal::retry(Code::OverRate, "over the rate", over.retry_after)
     })
 }
 
--- a/kingcupbayd/src/gateway/place.rs
+++ b/kingcupbayd/src/gateway/place.rs
@@ -11,7 +11,7 @@
 use actix_http::Method;
 use kingcupbay_core::{
     deployment::model::AdapterName,
-    health::Ending,
+    health::Exchange,
     time::Span,
     wire::{
         ask::Size,
@@ -108,9 +108,9 @@
         name: name.clone(),
         rank: job.rank(),
         size: job.ask.size.unwrap_or(Size { prompt: 500, output: 200 }),
-        aim: job.route.aim.saturating_sub(waited),
+        aim: job.route.latency_target.saturating_sub(waited),
         patience,
-        gap: job.route.gap,
+        gap: job.route.event_gap,
         entry: gateway.node.peers,
     };
     let body = rmp_serde::to_vec_named(&want).expect("a want has only plain fields");
@@ -128,7 +128,11 @@
         Ok(verdict) => Some((verdict, place)),
         Err(error) => {
             let now = clock::now();
-            gateway.health.borrow_mut().on_ending(now, &sidecar_id(engine), Ending::Away);
+            gateway.health.borrow_mut().on_exchange(
+                now,
+                &sidecar_id(engine),
+                Exchange::Unreachable,
+            );
             gateway.placement.borrow_mut().on_refusal(engine);
             warn!(gateway.node.log, ""; "event" => "sidecar_lost",
                 "request" => &job.ask.attempt, "sidecar" => %sidecar, "error" => error);
--- a/kingcupbayd/src/gateway/plain.rs
+++ b/kingcupbayd/src/gateway/plain.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use kingcupbay_core::{
     deployment::model::{Instance, Repeat},
-    health::Ending,
+    health::Exchange,
     time::Span,
     wire::error::Code,
 };
@@ -132,7 +132,7 @@
 /// come late.
 fn behind(job: &Job, instance: &Instance) -> Option<Span> {
     let now = clock::now();
-    let aim = job.route.aim.saturating_sub(now.since(job.arrived));
+    let aim = job.route.latency_target.saturating_sub(now.since(job.arrived));
     job.gateway.backlog.borrow().refuse(now, &instance.id, aim, job.draw())
 }
 
@@ -140,7 +140,7 @@
     let _open = Open::new(&job.gateway, &instance.id);
     let mut time = job.left();
     if job.route.repeat == Repeat::Idempotent && !last {
-        time = time.min(Span::from_micros(job.route.aim.as_micros() * STUCK));
+        time = time.min(Span::from_micros(job.route.latency_target.as_micros() * STUCK));
     }
     match tokio::time::timeout(time.into(), exchange(job, instance)).await {
         Ok(outcome) => outcome,
@@ -183,21 +183,21 @@
 fn note(job: &Job, instance: &Instance, outcome: &Outcome) {
     let gateway = &job.gateway;
     let (ending, text) = match outcome {
-        Outcome::Answer(head, _) if head.status.is_server_error() => (Ending::Failed, "failure"),
-        Outcome::Answer(..) => (Ending::Good, "answer"),
-        Outcome::NotRun => (Ending::Failed, "not_run"),
-        Outcome::Unsent(_) => (Ending::Away, "unsent"),
-        Outcome::Unknown(LinkError::Silent) => (Ending::Away, "silent"),
-        Outcome::Unknown(_) => (Ending::Failed, "lost"),
+        Outcome::Answer(head, _) if head.status.is_server_error() => (Exchange::Failed, "failure"),
+        Outcome::Answer(..) => (Exchange::Succeeded, "answer"),
+        Outcome::NotRun => (Exchange::Failed, "not_run"),
+        Outcome::Unsent(_) => (Exchange::Unreachable, "unsent"),
+        Outcome::Unknown(LinkError::Silent) => (Exchange::Unreachable, "silent"),
+        Outcome::Unknown(_) => (Exchange::Failed, "lost"),
     };
     let now = clock::now();
-    gateway.health.borrow_mut().on_ending(now, &instance.id, ending);
+    gateway.health.borrow_mut().on_exchange(now, &instance.id, ending);
     gateway.metrics.on_send(text);
     let error = match outcome {
         Outcome::Unsent(error) | Outcome::Unknown(error) => error.to_string(),
         _ => return,
     };
-    if matches!(ending, Ending::Away) {
+    if matches!(ending, Exchange::Unreachable) {
         gateway.node.pool.forget(instance.address);
     }
     warn!(gateway.node.log, ""; "event" => "attempt", "request" => &job.ask.attempt,
--- a/kingcupbayd/src/gateway/stream.rs
+++ b/kingcupbayd/src/gateway/stream.rs
@@ -11,7 +11,7 @@
 use futures_util::stream;
 use kingcupbay_core::{
     deployment::model::{Instance, Repeat},
-    health::Ending,
+    health::Exchange,
     time::{Instant, Span},
 };
 use slog::{info, warn};
@@ -174,10 +174,10 @@
         let gateway = self.job.gateway.clone();
         let left = self.job.left();
         let ending = match error {
-            LinkError::Silent if left > Span::ZERO => Ending::Away,
-            _ => Ending::Failed,
+            LinkError::Silent if left > Span::ZERO => Exchange::Unreachable,
+            _ => Exchange::Failed,
         };
-        gateway.health.borrow_mut().on_ending(now, &self.instance.id, ending);
+        gateway.health.borrow_mut().on_exchange(now, &self.instance.id, ending);
         warn!(gateway.node.log, ""; "event" => "broke_off", "request" => &self.job.ask.attempt,
             "upstream" => &self.instance.id, "last_event" => self.last_event,
             "error" => %error, "left_ms" => left.as_millis());
@@ -213,7 +213,7 @@
         self.ended = true;
         let gateway = &self.job.gateway;
         let now = clock::now();
-        gateway.health.borrow_mut().on_ending(now, &self.instance.id, Ending::Good);
+        gateway.health.borrow_mut().on_exchange(now, &self.instance.id, Exchange::Succeeded);
         gateway.metrics.on_stream(&self.job.route.name, self.pause);
         info!(gateway.node.log, ""; "event" => "streamed", "request" => &self.job.ask.attempt,
             "upstream" => &self.instance.id, "last_event" => self.last_event,
--- a/kingcupbayd/src/registered/copies.rs
+++ b/kingcupbayd/src/registered/copies.rs
@@ -58,7 +58,7 @@
 
 /// Asks the daemon at `address` for its rows and takes what is newer.
 pub(crate) async fn fetch(node: &Rc<Node>, address: SocketAddr) -> bool {
-    let called = node.pool.call(address, Method::GET, ROWS_PATH, &[], waits::FETCH).await;
+    let called = node.pool.call(address, Method::GET, ROWS_PATH, &[], waits::FETCH_TIMEOUT).await;
     let answer = match called {
         Ok(answer) if answer.status == 200 => answer,
         Ok(answer) => {
--- a/kingcupbayd/src/registered/follow.rs
+++ b/kingcupbayd/src/registered/follow.rs
@@ -33,26 +33,26 @@
 /// How long a call waits for a first change; `listens` where others tell of some too.
 fn wait(table: Table, role: Role, listens: bool) -> Span {
     match (table, role) {
-        (_, Role::Upstream) => waits::SIDECAR_FEED,
-        (Table::Operator, Role::Entry) if listens => waits::LISTENER_FEED,
-        (Table::Operator, Role::Entry) => waits::ENTRY_FEED,
-        (Table::Upstreams, Role::Entry) => waits::UPSTREAMS_FEED,
-        (Table::Entries, Role::Entry) => waits::MEMBERS_FEED,
+        (_, Role::Upstream) => waits::SIDECAR_FEED_WAIT,
+        (Table::Operator, Role::Entry) if listens => waits::LISTENER_FEED_WAIT,
+        (Table::Operator, Role::Entry) => waits::OPERATOR_FEED_WAIT,
+        (Table::Upstreams, Role::Entry) => waits::UPSTREAMS_FEED_WAIT,
+        (Table::Entries, Role::Entry) => waits::ENTRIES_FEED_WAIT,
     }
 }
 
 /// Pause after a call that brought changes.
 fn pause(table: Table, role: Role) -> Span {
     match (table, role) {
-        (_, Role::Upstream) => waits::SIDECAR_PAUSE,
-        (Table::Operator, Role::Entry) => waits::OPERATOR_PAUSE,
-        (Table::Upstreams | Table::Entries, Role::Entry) => waits::OTHER_PAUSE,
+        (_, Role::Upstream) => waits::SIDECAR_FEED_PAUSE,
+        (Table::Operator, Role::Entry) => waits::OPERATOR_FEED_PAUSE,
+        (Table::Upstreams | Table::Entries, Role::Entry) => waits::OTHER_FEED_PAUSE,
     }
 }
 
 /// Follows `table` for ever.
 pub(crate) async fn follow(node: Rc<Node>, table: Table) {
-    let mut pause = waits::RETRY_MIN;
+    let mut pause = waits::RETRY_PAUSE_MIN;
     let mut failed = None;
     loop {
         let error = match read(&node, table).await {
@@ -61,7 +61,7 @@
                     node.fencing.set(Some(version));
                 }
                 take_all(&node, table, rows, version, failed.is_some());
-                pause = waits::RETRY_MIN;
+                pause = waits::RETRY_PAUSE_MIN;
                 failed = None;
                 on_feed(&node, table).await
             }
@@ -76,7 +76,7 @@
                 ask_others(&node).await;
             }
             tokio::time::sleep(pause.into()).await;
-            pause = Span::from_micros(pause.as_micros() * 2).min(waits::RETRY_MAX);
+            pause = Span::from_micros(pause.as_micros() * 2).min(waits::RETRY_PAUSE_MAX);
             if table != Table::Operator {
                 await_store(&node).await;
             }
@@ -87,7 +87,7 @@
 /// Leaves it to the first feed to find out when the store answers again.
 async fn await_store(node: &Node) {
     while node.store.away().is_some() {
-        tokio::time::sleep(waits::RETRY_MIN.into()).await;
+        tokio::time::sleep(waits::RETRY_PAUSE_MIN.into()).await;
     }
 }
 
@@ -183,7 +183,7 @@
     if table == Table::Operator
         && let Some(last) = last
     {
-        node.readings.borrow_mut().on_untold(table, last);
+        node.readings.borrow_mut().on_unreported(table, last);
     }
 }
 
@@ -262,7 +262,7 @@
                     "address" => %instance.address, "leaving" => instance.leaving,
                     "born" => instance.born, "count" => instance.count,
                     "version" => row.version);
-                let news = node.catalogue.borrow().is_news(&instance);
+                let news = node.catalogue.borrow().needs_report(&instance);
                 let told = news.then(|| What::Upstream(instance.clone()));
                 node.catalogue.borrow_mut().on_instance(now, instance);
                 told
--- a/kingcupbayd/src/registered/listen.rs
+++ b/kingcupbayd/src/registered/listen.rs
@@ -20,12 +20,12 @@
     fn is_reader(&self) -> bool {
         let catalogue = self.catalogue.borrow();
         self.settings.daemon.role == Role::Upstream
-            || readers::reads(catalogue.of_role(Role::Entry), self.host())
+            || readers::is_reader(catalogue.of_role(Role::Entry), self.host())
     }
 
     /// For how long others' readings of `table` save this daemon a call of the store.
     pub(crate) fn rest(&self, table: Table) -> Option<Span> {
-        let rest = self.readings.borrow().rest(clock::now(), table)?;
+        let rest = self.readings.borrow().remaining(clock::now(), table)?;
         (!self.is_reader()).then_some(rest)
     }
 
@@ -33,7 +33,7 @@
     /// are not told: at a start they read all, and all at once.
     pub(crate) fn own_readings(&self, now: Instant) -> BTreeMap<Table, Reading> {
         match self.is_reader() {
-            true => self.readings.borrow_mut().tell(now),
+            true => self.readings.borrow_mut().report(now),
             false => BTreeMap::new(),
         }
     }
@@ -52,7 +52,7 @@
     pub(crate) fn on_readings(&self, now: Instant, tally: &mut Tally) {
         for (table, reading) in std::mem::take(&mut tally.readings) {
             let version = reading.version;
-            let taken = self.readings.borrow_mut().on_reading(now, table, reading);
+            let taken = self.readings.borrow_mut().on_position(now, table, reading);
             let Some(changes) = taken else {
                 self.behind.notify_waiters();
                 continue;
@@ -62,7 +62,7 @@
             }
             for change in changes {
                 self.log_told(&change, &tally.host, version);
-                self.catalogue.borrow_mut().on_changed(now, change);
+                self.catalogue.borrow_mut().on_reported_change(now, change);
             }
             self.changed.notify_waiters();
         }
--- a/kingcupbayd/src/registered/mod.rs
+++ b/kingcupbayd/src/registered/mod.rs
@@ -23,7 +23,7 @@
 };
 
 use kingcupbay_core::{
-    deployment::{catalogue::Catalogue, model::Deployment, readings::Readings},
+    deployment::{catalogue::Catalogue, model::Deployment, read_positions::ReadPositions},
     id::Number,
     time::Instant,
 };
@@ -55,7 +55,7 @@
     pub(crate) registered: Cell<bool>,
     pub(crate) catalogue: RefCell<Catalogue>,
     /// How far each table is known.
-    pub(crate) readings: RefCell<Readings>,
+    pub(crate) readings: RefCell<ReadPositions>,
     /// The operator's rows as read, for daemons that cannot read them.
     pub(crate) rows: RefCell<Rows>,
     /// Told whenever the catalogue has changed.
--- a/kingcupbayd/src/registered/store.rs
+++ b/kingcupbayd/src/registered/store.rs
@@ -4,7 +4,7 @@
 
 use actix_http::Method;
 use kingcupbay_core::{
-    deployment::waits::ANSWER,
+    deployment::waits::STORE_CALL_TIMEOUT,
     time::{Instant, Span},
     wire::rows::{Page, Txn, TxnAnswer},
 };
@@ -70,7 +70,7 @@
     /// Rows of `table` from the key `from` on.
     pub(crate) async fn read(&self, table: &str, from: &str) -> Result<Page, StoreError> {
         self.calls.with_label_values(&["read", table]).inc();
-        let answer = self.call(&encode::read(table, from), ANSWER).await?;
+        let answer = self.call(&encode::read(table, from), STORE_CALL_TIMEOUT).await?;
         Ok(encode::page(&answer.body)?)
     }
 
@@ -83,7 +83,8 @@
         wait: Span,
     ) -> Result<Page, StoreError> {
         self.calls.with_label_values(&["feed", table]).inc();
-        let answer = self.call(&encode::feed(table, after, wait), wait + ANSWER).await?;
+        let answer =
+            self.call(&encode::feed(table, after, wait), wait + STORE_CALL_TIMEOUT).await?;
         Ok(encode::page(&answer.body)?)
     }
 
@@ -91,7 +92,7 @@
     pub(crate) async fn transact(&self, txn: &Txn) -> Result<TxnAnswer, StoreError> {
         let table = txn.writes.first().map_or("", |(row, _)| &row.table);
         self.calls.with_label_values(&["transact", table]).inc();
-        let answer = self.call(&encode::transact(txn), ANSWER).await?;
+        let answer = self.call(&encode::transact(txn), STORE_CALL_TIMEOUT).await?;
         Ok(encode::transacted(answer.status == 412, &answer.body)?)
     }
 
--- a/kingcupbayd/src/registered/tallies.rs
+++ b/kingcupbayd/src/registered/tallies.rs
@@ -31,7 +31,7 @@
 pub(crate) async fn send(gateway: Rc<Gateway>) {
     let mut removed = clock::now();
     loop {
-        let period = gateway.allowance.borrow().period();
+        let period = gateway.allowance.borrow().report_period();
         tokio::time::sleep(period.into()).await;
         let now = clock::now();
         gateway.node.tick(now);
@@ -40,8 +40,8 @@
         if peers.is_empty() {
             continue;
         }
-        let mut tally = gateway.allowance.borrow_mut().tally(now, number);
-        tally.left = gateway.node.catalogue.borrow_mut().departures(now, tally.whole);
+        let mut tally = gateway.allowance.borrow_mut().usage_report(now, number);
+        tally.left = gateway.node.catalogue.borrow_mut().departures_to_report(now, tally.whole);
         tally.readings = gateway.node.own_readings(now);
         let body = rmp_serde::to_vec(&tally).expect("a tally has only plain fields");
         let body = Bytes::from(body);
@@ -65,9 +65,9 @@
     let from = gateway.node.address_of(&tally.host);
     let number = gateway.node.number();
     // Whoever tells it: one that is not listed here yet has read it all the same.
-    gateway.catch_up.borrow_mut().hear(tally.number);
+    gateway.catch_up.borrow_mut().on_number(tally.number);
     if let Some(address) = from
-        && gateway.catch_up.borrow_mut().ask(now, number, tally.number)
+        && gateway.catch_up.borrow_mut().begin_fetch(now, number, tally.number)
     {
         info!(gateway.node.log, ""; "event" => "newer_elsewhere", "peer" => &tally.host,
             "number" => number.0, "theirs" => tally.number.0);
@@ -75,7 +75,7 @@
     }
     gateway.node.on_readings(now, &mut tally);
     take_departures(&gateway.node, now, &tally);
-    let known = gateway.allowance.borrow_mut().on_tally(now, tally);
+    let known = gateway.allowance.borrow_mut().on_usage_report(now, tally);
     let status = if known { StatusCode::NO_CONTENT } else { StatusCode::ACCEPTED };
     Response::with_body(status, BoxBody::new(()))
 }
@@ -83,7 +83,7 @@
 /// Takes over which upstreams another entry saw leave.
 fn take_departures(node: &Node, now: Instant, tally: &Tally) {
     for (id, &version) in &tally.left {
-        if node.catalogue.borrow_mut().on_left(now, id, version) {
+        if node.catalogue.borrow_mut().on_departure_report(now, id, version) {
             info!(node.log, ""; "event" => "upstream_gone", "id" => id, "why" => "told",
                 "version" => version, "peer" => &tally.host);
             node.changed.notify_waiters();
@@ -98,7 +98,7 @@
     copies::fetch(node, from).await;
     let (now, number) = (clock::now(), node.number());
     let mut catch_up = gateway.catch_up.borrow_mut();
-    catch_up.on_end(now, number);
+    catch_up.on_fetch_end(now, number);
     info!(node.log, ""; "event" => "caught_up", "number" => number.0,
         "newest" => catch_up.newest().0, "ms" => now.since(began).as_millis());
 }
@@ -116,7 +116,7 @@
         Err(_) => true,
     };
     if called.as_ref().is_ok_and(|answer| answer.status == 202) {
-        gateway.allowance.borrow_mut().on_unknown();
+        gateway.allowance.borrow_mut().on_full_report_request();
     }
     let changed = match failed {
         true => gateway.deaf.borrow_mut().insert(peer),
