--- a/kingcupbay_core/src/allowance.rs
+++ b/kingcupbay_core/src/allowance.rs
@@ -1,13 +1,15 @@
-//! What an organisation may still use, counted over all entries.
+//! Rate limits of organisations, enforced over all entries.
 //!
-//! Every entry keeps the fleet's bucket of each organisation: it takes its own
-//! admissions off at once and those of the others when their tallies come, some
-//! ten times a second. While the bucket is well filled, any entry admits
-//! anything. When less is left than the others may spend before their next
-//! tally comes ([`LAG`]), several entries would spend the same tokens, so each
-//! then keeps to its own part of the rate, in proportion to what is asked of
-//! it. An entry that has lost touch with another keeps to its part as it was, as
-//! the other does, so the parts do not add up to more than the whole.
+//! Every entry keeps a copy of each organisation's token bucket. It subtracts its
+//! own admissions at once and those of the other entries when their usage reports
+//! arrive, about ten times a second. While the bucket holds enough, an entry admits
+//! any request.
+//!
+//! When the bucket holds less than the others may spend before their next reports
+//! arrive ([`REPORT_LAG_PERIODS`]), several entries could spend the same tokens. Each
+//! entry then limits itself to its share of the rate, in proportion to its demand. An
+//! entry that receives no reports from another one freezes its share, and so does the
+//! other one, so that the shares do not add up to more than the whole.
 
 use std::collections::BTreeMap;
 
@@ -18,116 +20,119 @@
     wire::tally::{Tally, Use},
 };
 
-/// Shortest time between two tallies. Within it entries spend the same tokens
-/// unseen.
-const PERIOD_MIN: Span = Span::from_millis(100);
+/// Shortest time between two usage reports. Between reports, entries may spend the
+/// same tokens without noticing.
+const REPORT_PERIOD_MIN: Span = Span::from_millis(100);
 
-/// Time between two tallies for each entry that there is: every entry tells
-/// every other, so each takes in as many a second however many there are. Halves
-/// of a fleet that are cut when a flood begins spend unseen for a few periods.
-const PERIOD_EACH: Span = Span::from_millis(5);
+/// Time between two usage reports, per entry of the fleet. Every entry reports to
+/// every other, so the number of reports that each receives per second does not
+/// depend on the size of the fleet. When the network splits as a flood of requests
+/// begins, both halves spend the same tokens for a few periods.
+const REPORT_PERIOD_PER_ENTRY: Span = Span::from_millis(5);
 
-/// Longest time between two tallies: beyond it, parts follow demand too late.
-const PERIOD_MAX: Span = Span::from_secs(1);
+/// Longest time between two usage reports. With longer periods, shares follow
+/// demand too slowly.
+const REPORT_PERIOD_MAX: Span = Span::from_secs(1);
 
-/// One tally in so many names every organisation; the others name those whose use
-/// has changed since the last, as most ask nothing of an entry in between. What a
-/// lost tally told is told again with the next whole one.
-const WHOLE_EACH: u32 = 8;
+/// One in this many usage reports is full and names every organisation. The others
+/// name only organisations whose use has changed, as most send an entry nothing
+/// between two reports. The next full report repeats what a lost report contained.
+const REPORTS_PER_FULL: u32 = 8;
 
-/// Growth of demand that is told although nothing was spent, as a multiple: parts
-/// follow demand. That it has faded is told with the next whole tally.
-const GROWN: f64 = 1.1;
+/// Factor by which demand must grow to be reported although nothing was spent, as
+/// shares depend on demand. Falling demand is reported with the next full report.
+const DEMAND_GROWTH_REPORTED: f64 = 1.1;
 
-/// How long the others may spend before this entry hears of it, in periods of
-/// the tallies: two, and the time that one takes.
-const LAG: f64 = 2.5;
+/// How long the other entries may spend before this one learns of it, in report
+/// periods: two periods, and the time that a report takes to arrive.
+const REPORT_LAG_PERIODS: f64 = 2.5;
 
-/// Most of the burst that is set aside for what the others may have spent. An
-/// organisation that sends more than this covers is over its limit anyway.
-const ASIDE_MAX: f64 = 0.5;
+/// Largest fraction of the burst reserved for what the others may have spent. An
+/// organisation whose demand exceeds this reserve is over its limit anyway.
+const RESERVED_BURST_MAX: f64 = 0.5;
 
-/// An entry that was not heard for so many periods may be spending unseen: three
-/// tallies in a row are missing.
-const SILENT: f64 = 3.5;
+/// Report periods without a report after which an entry counts as silent and may be
+/// spending unnoticed: three reports in a row are missing.
+const SILENT_PERIODS: f64 = 3.5;
 
-/// Time over which demand is averaged.
-const DEMAND: f64 = 1.0;
+/// Time constant of the moving average of demand, in seconds.
+const DEMAND_WINDOW_SECS: f64 = 1.0;
 
-/// Demand that every entry is taken to have at least, as part of the rate
-/// divided by the entries, so that a caller who comes to a new entry finds a
-/// part there.
-const FLOOR: f64 = 0.2;
+/// Smallest demand assumed of each entry, as a fraction of the rate divided by the
+/// number of entries. It gives every entry a share for callers that are new to it.
+const DEMAND_FLOOR: f64 = 0.2;
 
-/// Part of a full bucket that admits even what is larger than the bucket; the
-/// bucket goes into debt for the rest. Otherwise an organisation's largest
-/// requests could never run once its burst is lowered.
-const ENOUGH: f64 = 0.9;
+/// Fill level, as a fraction of the burst, at which a request larger than the bucket
+/// is admitted. The bucket goes into debt for the rest. Otherwise an organisation's
+/// largest requests could never run once its burst is lowered.
+const LARGE_REQUEST_LEVEL: f64 = 0.9;
 
-/// An entry that was started less than this ago takes over the levels that the
-/// others believe in.
-const YOUNG: Span = Span::from_secs(2);
+/// Time after its start in which an entry adopts the bucket levels that the other
+/// entries report.
+const STARTUP: Span = Span::from_secs(2);
 
-/// Shortest time to come back that a caller is told, in seconds.
-const AFTER_MIN: f64 = 0.05;
+/// Shortest retry delay returned to a caller, in seconds.
+const RETRY_AFTER_MIN_SECS: f64 = 0.05;
 
-/// Longest time to come back that a caller is told.
-const AFTER_MAX: Span = Span::from_secs(5);
+/// Longest retry delay returned to a caller.
+const RETRY_AFTER_MAX: Span = Span::from_secs(5);
 
-/// Why a request is over the limit.
+/// Error for a request that exceeds its organisation's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OverLimit {
-    /// When there will be enough.
+    /// Time until the limit is expected to allow the request.
     pub retry_after: Span,
 }
 
-/// One organisation at this entry.
+/// Bucket and demand of one organisation, as this entry knows them.
 #[derive(Clone, Debug)]
 struct Account {
-    /// What is left of the fleet's bucket; below zero is debt.
+    /// Tokens left in the fleet's bucket. A negative value is debt.
     level: f64,
-    /// What is left of this entry's part of it.
-    part: f64,
-    at: Instant,
+    /// Tokens left in this entry's share of the bucket.
+    own_level: f64,
+    /// When both levels were last refilled.
+    refilled: Instant,
+    /// Tokens admitted since the start, less refunds.
     spent: i64,
-    /// As of `asked`.
+    /// Average of the tokens requested per second, as of `demand_at`.
     demand: f64,
-    asked: Instant,
-    /// The demand that the other entries were last told while all were heard.
-    told: f64,
+    demand_at: Instant,
+    /// Demand last reported while no other entry was silent.
+    reported_demand: f64,
 }
 
-/// Another entry, as its last tally showed it.
+/// Another entry, as of its last usage report.
 #[derive(Clone, Debug)]
 struct Peer {
     incarnation: u64,
-    heard: Instant,
+    received: Instant,
     uses: BTreeMap<String, Use>,
 }
 
-/// The buckets of one entry.
+/// Rate limits of all organisations at one entry.
 #[derive(Debug)]
 pub struct Allowance {
     host: String,
     incarnation: u64,
     started: Instant,
     accounts: BTreeMap<String, Account>,
-    /// Entries by host. `None`: registered, but not heard since this one
-    /// started.
+    /// The other entries by host. `None`: registered, but no report received since
+    /// this entry started.
     peers: BTreeMap<String, Option<Peer>>,
-    /// What the others were last told of each organisation.
-    told: BTreeMap<String, Use>,
-    /// Tallies until the next whole one.
-    until_whole: u32,
-    /// Another entry was silent when the limits were last looked at.
-    blind: bool,
-    /// This entry was taken off the list of entries, so others may use its
-    /// part.
+    /// Last reported use of each organisation.
+    reported: BTreeMap<String, Use>,
+    /// Usage reports until the next full one.
+    until_full: u32,
+    /// Whether another entry was silent at the last check.
+    peer_silent: bool,
+    /// Whether this entry is missing from the list of entries. The others may then
+    /// use its share.
     removed: bool,
 }
 
 impl Allowance {
-    /// Buckets of the entry on `host`, started at `now`.
+    /// Creates the limits of the entry on `host`, which starts at `now`.
     pub fn new(host: &str, incarnation: u64, now: Instant) -> Allowance {
         Allowance {
             host: host.to_owned(),
@@ -135,14 +140,14 @@
             started: now,
             accounts: BTreeMap::new(),
             peers: BTreeMap::new(),
-            told: BTreeMap::new(),
-            until_whole: 0,
-            blind: false,
+            reported: BTreeMap::new(),
+            until_full: 0,
+            peer_silent: false,
             removed: false,
         }
     }
 
-    /// Takes the list of registered entries.
+    /// Updates the list of registered entries.
     pub fn on_entries<'a>(&mut self, hosts: impl Iterator<Item = &'a str>) {
         let mut before = std::mem::take(&mut self.peers);
         let mut listed = false;
@@ -158,26 +163,29 @@
         self.removed = !listed;
     }
 
-    /// Whether another entry was not heard since `limit` ago.
+    /// Returns the hosts of entries from which no report has arrived for `limit` or
+    /// longer.
     pub fn silent_since(&self, now: Instant, limit: Span) -> impl Iterator<Item = &str> {
         self.peers.iter().filter_map(move |(host, peer)| {
-            let since = peer.as_ref().map_or(self.started, |peer| peer.heard);
+            let since = peer.as_ref().map_or(self.started, |peer| peer.received);
             (now.since(since) >= limit).then_some(host.as_str())
         })
     }
 
-    /// How many entries there are, this one included.
+    /// Returns the number of entries, including this one.
     pub fn entries(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// Time between two tallies to the others.
+    /// Returns the time between two usage reports to the other entries.
     pub fn report_period(&self) -> Span {
-        let each = PERIOD_EACH.as_micros() * self.entries() as u64;
-        Span::from_micros(each).clamp(PERIOD_MIN, PERIOD_MAX)
+        let each = REPORT_PERIOD_PER_ENTRY.as_micros() * self.entries() as u64;
+        Span::from_micros(each).clamp(REPORT_PERIOD_MIN, REPORT_PERIOD_MAX)
     }
 
-    /// Asks for `cost` tokens of `who`; they are taken if there are enough.
+    /// Takes `cost` tokens from the bucket of `who`.
+    ///
+    /// Fails with the time after which to retry if the limit does not allow it.
     pub fn try_acquire(
         &mut self,
         now: Instant,
@@ -187,36 +195,37 @@
         if who.rate == 0 {
             return Ok(());
         }
-        let blind = self.look(now);
+        let peer_silent = self.check_peers(now);
         let share = self.share(who);
-        let lag = self.report_period().as_secs_f64() * LAG;
-        let aside = (self.others(who) * lag).min(who.burst as f64 * ASIDE_MAX);
-        let alone = self.removed && !self.peers.is_empty();
+        let lag = self.report_period().as_secs_f64() * REPORT_LAG_PERIODS;
+        let reserved = (self.others_demand(who) * lag).min(who.burst as f64 * RESERVED_BURST_MAX);
+        let delisted = self.removed && !self.peers.is_empty();
         let account = self.account(now, who, share);
         let cost = cost as f64;
-        account.demand += cost / DEMAND;
+        account.demand += cost / DEMAND_WINDOW_SECS;
         let burst = who.burst as f64;
-        let needed = cost.min(burst * ENOUGH);
-        let part_needed = cost.min(burst * share * ENOUGH);
-        let plenty = !blind && account.level >= aside + needed;
-        let own = account.part >= part_needed && (blind || account.level >= needed.min(0.0));
-        if !alone && (plenty || own) {
+        let needed = cost.min(burst * LARGE_REQUEST_LEVEL);
+        let own_needed = cost.min(burst * share * LARGE_REQUEST_LEVEL);
+        let shared = !peer_silent && account.level >= reserved + needed;
+        let own =
+            account.own_level >= own_needed && (peer_silent || account.level >= needed.min(0.0));
+        if !delisted && (shared || own) {
             account.level -= cost;
-            account.part = match own {
-                true => account.part - cost,
-                false => (account.part - cost).max(0.0),
+            account.own_level = match own {
+                true => account.own_level - cost,
+                false => (account.own_level - cost).max(0.0),
             };
             account.spent += cost as i64;
             return Ok(());
         }
         let rate = who.rate as f64;
-        let own = (part_needed - account.part) / (rate * share).max(1.0);
-        let wait = own.max(-account.level / rate);
-        let after = Span::from_micros((wait.max(AFTER_MIN) * 1e6) as u64);
-        Err(OverLimit { retry_after: after.min(AFTER_MAX) })
+        let refill = (own_needed - account.own_level) / (rate * share).max(1.0);
+        let wait = refill.max(-account.level / rate);
+        let after = Span::from_micros((wait.max(RETRY_AFTER_MIN_SECS) * 1e6) as u64);
+        Err(OverLimit { retry_after: after.min(RETRY_AFTER_MAX) })
     }
 
-    /// Gives back what a request did not use because it did not run.
+    /// Returns `cost` tokens of a request that did not run.
     pub fn refund(&mut self, now: Instant, who: &Organisation, cost: u64) {
         if who.rate == 0 {
             return;
@@ -224,45 +233,50 @@
         let share = self.share(who);
         let account = self.account(now, who, share);
         account.level = (account.level + cost as f64).min(who.burst as f64);
-        account.part = (account.part + cost as f64).min(who.burst as f64 * share);
+        account.own_level = (account.own_level + cost as f64).min(who.burst as f64 * share);
         account.spent -= cost as i64;
     }
 
-    /// What the other entries are told.
+    /// Builds the next usage report for the other entries. It is full if
+    /// [`REPORTS_PER_FULL`] says so, and else names what has changed.
     pub fn usage_report(&mut self, now: Instant, number: Number) -> Tally {
-        let blind = self.look(now);
-        let whole = self.until_whole == 0;
-        self.until_whole = if whole { WHOLE_EACH - 1 } else { self.until_whole - 1 };
+        let peer_silent = self.check_peers(now);
+        let full = self.until_full == 0;
+        self.until_full = if full { REPORTS_PER_FULL - 1 } else { self.until_full - 1 };
         let mut uses = BTreeMap::new();
         for (name, account) in &mut self.accounts {
-            account.fade(now);
+            account.decay(now);
             let Account { spent, demand, level, .. } = *account;
-            let last = self.told.get(name);
-            let same =
-                last.is_some_and(|last| last.spent == spent && demand <= last.demand * GROWN);
-            if same && !whole {
+            let last = self.reported.get(name);
+            let unchanged = last.is_some_and(|last| {
+                last.spent == spent && demand <= last.demand * DEMAND_GROWTH_REPORTED
+            });
+            if unchanged && !full {
                 continue;
             }
-            if !blind {
-                account.told = demand;
+            if !peer_silent {
+                account.reported_demand = demand;
             }
             uses.insert(name.clone(), Use { spent, demand, level });
         }
-        self.told.extend(uses.iter().map(|(name, used)| (name.clone(), *used)));
+        self.reported.extend(uses.iter().map(|(name, used)| (name.clone(), *used)));
         let host = self.host.clone();
         let incarnation = self.incarnation;
-        Tally { host, incarnation, number, whole, uses, ..Tally::default() }
+        Tally { host, incarnation, number, whole: full, uses, ..Tally::default() }
     }
 
-    /// Another entry lacks what the last whole tally told; the next one is whole.
+    /// Makes the next usage report a full one, as another entry has received none.
     pub fn on_full_report_request(&mut self) {
-        self.until_whole = 0;
+        self.until_full = 0;
     }
 
-    /// Takes what another entry told. False: this entry has no whole tally of it,
-    /// without which it cannot tell what was spent since.
+    /// Applies another entry's usage report.
+    ///
+    /// Returns false, and applies nothing, if the report is partial and this entry has
+    /// no full one since the other's start. Without that it cannot compute what was
+    /// spent since.
     pub fn on_usage_report(&mut self, now: Instant, tally: Tally) -> bool {
-        let young = now.since(self.started) < YOUNG;
+        let starting = now.since(self.started) < STARTUP;
         let before = self.peers.get(&tally.host).cloned().flatten();
         let same = before.as_ref().is_some_and(|peer| peer.incarnation == tally.incarnation);
         if !tally.whole && !same {
@@ -273,8 +287,8 @@
             let Some(account) = self.accounts.get_mut(name) else { continue };
             match known {
                 Some(known) => account.level -= (used.spent - known.spent) as f64,
-                // This entry knows nothing of before; the other does.
-                None if young && !same => account.level = account.level.min(used.level),
+                // This entry has no record of earlier use; the other entry has.
+                None if starting && !same => account.level = account.level.min(used.level),
                 None => account.level -= used.spent as f64,
             }
         }
@@ -283,49 +297,53 @@
             _ => BTreeMap::new(),
         };
         uses.extend(tally.uses);
-        let peer = Peer { incarnation: tally.incarnation, heard: now, uses };
+        let peer = Peer { incarnation: tally.incarnation, received: now, uses };
         self.peers.insert(tally.host, Some(peer));
         true
     }
 
-    /// What is left of an organisation's bucket, for dumps and metrics.
+    /// Returns the bucket level of each organisation, for dumps and metrics.
     pub fn levels(&self) -> impl Iterator<Item = (&str, f64)> {
         self.accounts.iter().map(|(name, account)| (name.as_str(), account.level))
     }
 
-    /// Whether another entry may be spending unseen. From then on this one
-    /// keeps to its part of what is left, as the other does: the bucket may be
-    /// nearly empty although none of it was taken here.
-    fn look(&mut self, now: Instant) -> bool {
-        let blind = self.is_blind(now);
-        if blind && !std::mem::replace(&mut self.blind, blind) {
+    /// Checks whether another entry is silent and may be spending unnoticed. When that
+    /// begins, limits this entry to its share of the current level, as the other entry
+    /// does: the bucket may be nearly empty although nothing was spent here.
+    fn check_peers(&mut self, now: Instant) -> bool {
+        let peer_silent = self.has_silent_peer(now);
+        if peer_silent && !std::mem::replace(&mut self.peer_silent, peer_silent) {
             let names: Vec<String> = self.accounts.keys().cloned().collect();
             for name in names {
-                let share = self.part_of(&name, 0.0);
+                let share = self.share_of(&name, 0.0);
                 let account = self.accounts.get_mut(&name).expect("it was listed");
-                account.part = account.part.min(account.level.max(0.0) * share);
+                account.own_level = account.own_level.min(account.level.max(0.0) * share);
             }
         }
-        self.blind = blind;
-        blind
+        self.peer_silent = peer_silent;
+        peer_silent
     }
 
-    fn is_blind(&self, now: Instant) -> bool {
-        let limit = Span::from_micros((self.report_period().as_micros() as f64 * SILENT) as u64);
+    fn has_silent_peer(&self, now: Instant) -> bool {
+        let limit =
+            Span::from_micros((self.report_period().as_micros() as f64 * SILENT_PERIODS) as u64);
         self.silent_since(now, limit).next().is_some()
     }
 
-    /// This entry's part of the rate of `who`.
+    /// Returns this entry's share of the rate of `who`, from 0 to 1.
     fn share(&self, who: &Organisation) -> f64 {
-        self.part_of(&who.name, who.rate as f64 * FLOOR / self.entries() as f64)
+        self.share_of(&who.name, who.rate as f64 * DEMAND_FLOOR / self.entries() as f64)
     }
 
-    /// This entry's part of what `organisation` may use, if each entry's demand
-    /// is at least `floor`. Two halves that cannot hear each other must not both
-    /// take the part that more demand would give them, so while another entry is
-    /// silent this one's demand counts as it was last told.
-    fn part_of(&self, organisation: &str, floor: f64) -> f64 {
-        let demand = |account: &Account| if self.blind { account.told } else { account.demand };
+    /// Returns this entry's share of what `organisation` may use, from 0 to 1, with
+    /// `floor` added to each entry's demand.
+    ///
+    /// While another entry is silent, this entry's demand counts as last reported: if
+    /// the network is split, both halves must not enlarge their shares as demand grows.
+    fn share_of(&self, organisation: &str, floor: f64) -> f64 {
+        let demand = |account: &Account| {
+            if self.peer_silent { account.reported_demand } else { account.demand }
+        };
         let own = self.accounts.get(organisation).map_or(0.0, demand) + floor;
         let other = |peer: &Option<Peer>| {
             let known = peer.as_ref().and_then(|peer| peer.uses.get(organisation));
@@ -334,38 +352,39 @@
         own / (own + self.peers.values().map(other).sum::<f64>()).max(1.0)
     }
 
-    /// Tokens of `who` that the other entries are asked for a second.
-    fn others(&self, who: &Organisation) -> f64 {
+    /// Returns the tokens per second that the other entries' callers request for `who`.
+    fn others_demand(&self, who: &Organisation) -> f64 {
         let known = self.peers.values().flatten();
         known.filter_map(|peer| peer.uses.get(&who.name)).map(|used| used.demand).sum()
     }
 
+    /// Returns the account of `who`, refilled up to `now`.
     fn account(&mut self, now: Instant, who: &Organisation, share: f64) -> &mut Account {
         let burst = who.burst as f64;
         let account = self.accounts.entry(who.name.clone()).or_insert_with(|| Account {
             level: burst,
-            part: burst * share,
-            at: now,
+            own_level: burst * share,
+            refilled: now,
             spent: 0,
             demand: 0.0,
-            asked: now,
-            told: 0.0,
+            demand_at: now,
+            reported_demand: 0.0,
         });
-        let passed = now.since(account.at).as_secs_f64();
-        account.fade(now);
-        account.at = now;
+        let passed = now.since(account.refilled).as_secs_f64();
+        account.decay(now);
+        account.refilled = now;
         let gained = who.rate as f64 * passed;
         account.level = (account.level + gained).min(burst);
-        account.part = (account.part + gained * share).min(burst * share);
+        account.own_level = (account.own_level + gained * share).min(burst * share);
         account
     }
 }
 
 impl Account {
-    /// Lets the demand fade to what it is at `now`.
-    fn fade(&mut self, now: Instant) {
-        let passed = now.since(self.asked).as_secs_f64();
-        self.demand *= (-passed / DEMAND).exp();
-        self.asked = now;
+    /// Decays the average of the demand up to `now`.
+    fn decay(&mut self, now: Instant) {
+        let passed = now.since(self.demand_at).as_secs_f64();
+        self.demand *= (-passed / DEMAND_WINDOW_SECS).exp();
+        self.demand_at = now;
     }
 }
