--- a/kingcupbay_core/src/backlog.rs
+++ b/kingcupbay_core/src/backlog.rs
@@ -1,16 +1,15 @@
-//! Which requests of plain services are refused before they are sent.
+//! Load shedding: which requests of plain services are refused before they are sent.
 //!
-//! An upstream that gets more than it can do queues, and with a full queue each
-//! answer comes later than it is of use: everybody waits, and nobody is served
-//! in time. So when an upstream's own word on its load tells that the answer
-//! would come late, a part of the requests is refused at once, the larger the
-//! later it would come, and the others are served in time. A part, not all: each
-//! entry hears of the load only by its answers, and entries that all stopped at
-//! the same word would leave the upstream idle until they all came back.
+//! An overloaded upstream queues requests, and once its queue is full every answer
+//! misses its latency target. When the load that an upstream reports means that the
+//! answer would be late, a fraction of the requests is refused at once, and the others
+//! are answered in time. The later the expected answer, the larger the fraction. It is
+//! never all of them: an entry learns of the load only from answers, and if all entries
+//! stopped on the same report, the upstream would be idle until they all resumed.
 //!
-//! Load that this answers: one upstream left of three, six slots of 60 ms, 110
-//! requests a second from 22 entries, with an aim of 300 ms. Played by
-//! `backlog.rs::the_last_upstream_serves_in_time`.
+//! Example load: one upstream left of three, with six slots and 60 ms per request, gets
+//! 110 requests a second from 22 entries, with a latency target of 300 ms. The test
+//! `backlog.rs::the_last_upstream_serves_in_time` simulates it.
 
 use std::collections::BTreeMap;
 
@@ -19,82 +18,93 @@
     wire::ask::Load,
 };
 
-/// Weight of one answer's time against all before it.
-const WEIGHT: f64 = 0.1;
+/// Weight of the latest answer in the moving average of the service time.
+const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
-/// A load that was told longer ago than this says nothing any more. An entry
-/// with a twentieth of the callers hears five times a second of an upstream.
-const TOLD: Span = Span::from_millis(600);
+/// Age at which a load report is ignored. An entry with a twentieth of the callers
+/// gets about five reports a second from an upstream.
+const REPORT_AGE_MAX: Span = Span::from_millis(600);
 
-/// Expected time, as part of what is left of the aim, up to which nothing is
-/// refused. Work varies by half, so most of such answers are on time.
-const CALM: f64 = 0.6;
+/// Expected time to answer, as a fraction of the time left until the latency target,
+/// up to which nothing is refused. Service times vary by half, so most of these
+/// answers are on time.
+const SHEDDING_START: f64 = 0.6;
 
-/// Expected time, as part of what is left of the aim, from which on most are
-/// refused. Between the two the part grows evenly.
-const FULL: f64 = 1.0;
+/// Expected time to answer, as a fraction of the time left until the latency target,
+/// from which the largest fraction is refused. In between, the fraction grows linearly.
+const SHEDDING_FULL: f64 = 1.0;
 
-/// Largest part that is refused; the others bring news of the load.
-const MOST: f64 = 0.9;
+/// Largest fraction that is refused. Answers to the other requests report the load.
+const REFUSED_FRACTION_MAX: f64 = 0.9;
 
-/// What one upstream's answers told.
+/// Load of one upstream, as its answers report it.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct Upstream {
     load: Load,
-    at: Instant,
-    /// Milliseconds of work of a request.
-    work: f64,
+    reported: Instant,
+    /// Average service time of a request without queueing, in milliseconds.
+    service_ms: f64,
 }
 
-/// The upstreams of plain services, by id.
+/// Load of the upstreams of plain services, by id.
 #[derive(Debug, Default)]
 pub struct Backlog {
-    upstreams: BTreeMap<String, Told>,
+    upstreams: BTreeMap<String, Upstream>,
 }
 
 impl Backlog {
-    /// An answer came `took` after its request was sent, with the upstream's
-    /// word on its load.
+    /// Records an answer that arrived `took` after its request was sent, with the load
+    /// that the upstream reported.
     pub fn on_answer(&mut self, now: Instant, id: &str, load: Load, took: Span) {
-        let alone = took.as_millis_f64() / rounds(load);
-        let told =
-            self.upstreams.entry(id.to_owned()).or_insert(Told { load, at: now, work: alone });
-        told.work += WEIGHT * (alone - told.work);
-        told.load = load;
-        told.at = now;
+        let unqueued = took.as_millis_f64() / service_times(load);
+        let upstream = self.upstreams.entry(id.to_owned()).or_insert(Upstream {
+            load,
+            reported: now,
+            service_ms: unqueued,
+        });
+        upstream.service_ms += SERVICE_TIME_WEIGHT * (unqueued - upstream.service_ms);
+        upstream.load = load;
+        upstream.reported = now;
     }
 
-    /// An upstream refused a request and told its load.
+    /// Records a refusal, with the load that the upstream reported.
     pub fn on_refusal(&mut self, now: Instant, id: &str, load: Load) {
-        // Without an answer nothing is known of its work.
-        if let Some(told) = self.upstreams.get_mut(id) {
-            told.load = load;
-            told.at = now;
+        // The service time is known only once the upstream has answered.
+        if let Some(upstream) = self.upstreams.get_mut(id) {
+            upstream.load = load;
+            upstream.reported = now;
         }
     }
 
-    /// Forgets upstreams that are not registered any more.
+    /// Drops upstreams that are no longer registered.
     pub fn retain(&mut self, known: impl Fn(&str) -> bool) {
         self.upstreams.retain(|id, _| known(id));
     }
 
-    /// When to come back, if a request that is to be answered within `aim` is
-    /// refused rather than sent to `id`. `draw` differs from request to request.
-    pub fn refuse(&self, now: Instant, id: &str, aim: Span, draw: u64) -> Option<Span> {
-        let told = self.upstreams.get(id).filter(|told| now.since(told.at) < TOLD)?;
-        if told.load.waiting == 0 {
+    /// Decides whether to refuse a request that must be answered within `target`
+    /// instead of sending it to `id`. Returns the time after which to retry if so.
+    ///
+    /// `draw` is a random number, drawn anew for each request.
+    pub fn refuse(&self, now: Instant, id: &str, target: Span, draw: u64) -> Option<Span> {
+        let upstream = self
+            .upstreams
+            .get(id)
+            .filter(|upstream| now.since(upstream.reported) < REPORT_AGE_MAX)?;
+        if upstream.load.waiting == 0 {
             return None;
         }
-        let expected = told.work * rounds(told.load);
-        let aim = aim.as_millis_f64().max(1.0);
-        let part = ((expected / aim - CALM) / (FULL - CALM)).clamp(0.0, MOST);
+        let expected = upstream.service_ms * service_times(upstream.load);
+        let target = target.as_millis_f64().max(1.0);
+        let fraction = ((expected / target - SHEDDING_START) / (SHEDDING_FULL - SHEDDING_START))
+            .clamp(0.0, REFUSED_FRACTION_MAX);
         let drawn = (draw >> 11) as f64 / (1_u64 << 53) as f64;
-        // By then what waits now has been worked off.
-        (drawn < part).then(|| Span::from_millis_f64(expected))
+        // By then the upstream has processed what is queued now.
+        (drawn < fraction).then(|| Span::from_millis_f64(expected))
     }
 }
 
-/// Times of work until a request is answered that comes behind those that wait.
-fn rounds(load: Load) -> f64 {
+/// Returns the expected time to answer a request that queues behind those waiting, as
+/// a multiple of the service time.
+fn service_times(load: Load) -> f64 {
     1.0 + f64::from(load.waiting) / f64::from(load.slots.max(1))
 }
--- a/kingcupbay_core/src/health.rs
+++ b/kingcupbay_core/src/health.rs
@@ -1,127 +1,134 @@
-//! Which upstreams fail lately, known from answers alone.
+//! Passive health checks: which upstreams have failed lately, judged by their answers.
 
 use std::collections::BTreeMap;
 
 use crate::time::{Instant, Span};
 
-/// Time in which a failure counts half.
-const HALF_LIFE: Span = Span::from_secs(2);
+/// Time after which a failure counts half.
+const FAILURE_HALF_LIFE: Span = Span::from_secs(2);
 
-/// Failures, fresh ones counted as one each, from which on an upstream is
-/// tried after the others.
-const SUSPECT: f64 = 0.8;
+/// Decayed number of failures from which an upstream is tried after the others. A
+/// failure counts as one when it happens.
+const SUSPECT_FAILURES: f64 = 0.8;
 
-/// How long an upstream that could not be reached gets nothing while others
-/// can be: a restart takes a second or more.
-const AWAY: Span = Span::from_millis(700);
+/// How long an upstream that could not be reached is tried after the others. A
+/// restart takes a second or more.
+const UNREACHABLE_PAUSE: Span = Span::from_millis(700);
 
-/// How long a load that an upstream told counts.
-const TOLD: Span = Span::from_millis(300);
+/// Age at which an upstream's load report is ignored.
+const REPORT_AGE_MAX: Span = Span::from_millis(300);
 
-/// How an exchange with an upstream ended.
+/// Result of an exchange with an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exchange {
-    /// A whole answer that is no failure.
+    /// A complete answer that is not a failure.
     Succeeded,
-    /// A failure of its own, or an answer that is not whole.
+    /// A failure that the upstream reported, or an incomplete answer.
     Failed,
-    /// No connection, or silence.
+    /// No connection, or no answer in time.
     Unreachable,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Record {
+    /// Decayed number of failures as of `updated`.
     failures: f64,
-    at: Instant,
-    away: Option<Instant>,
-    /// Requests of this daemon that it has now.
+    updated: Instant,
+    /// Counts as unreachable until then.
+    unreachable: Option<Instant>,
+    /// Open requests from this daemon.
     open: u32,
-    /// What it last said of its load: running and waiting.
-    told: u32,
-    told_at: Instant,
+    /// Running and waiting requests that it last reported.
+    load: u32,
+    load_at: Instant,
 }
 
-/// Failures of each upstream by its id.
+/// Failures and load of each upstream, by id.
 #[derive(Debug, Default)]
 pub struct Health {
     records: BTreeMap<String, Record>,
 }
 
 impl Health {
-    /// A request goes there.
+    /// Records that a request is sent to `id`.
     pub fn on_send(&mut self, id: &str) {
         self.records.entry(id.to_owned()).or_default().open += 1;
     }
 
-    /// A request there has ended, however.
+    /// Records that a request to `id` has ended, with any result.
     pub fn on_end(&mut self, id: &str) {
         if let Some(record) = self.records.get_mut(id) {
             record.open = record.open.saturating_sub(1);
         }
     }
 
-    /// How an exchange went.
-    pub fn on_exchange(&mut self, now: Instant, id: &str, ending: Exchange) {
+    /// Records the result of an exchange with `id`.
+    pub fn on_exchange(&mut self, now: Instant, id: &str, exchange: Exchange) {
         let record = self.records.entry(id.to_owned()).or_default();
-        record.failures = record.faded(now);
-        record.at = now;
-        match ending {
+        record.failures = record.recent_failures(now);
+        record.updated = now;
+        match exchange {
             Exchange::Succeeded => {
                 record.failures *= 0.5;
-                record.away = None;
+                record.unreachable = None;
             }
             Exchange::Failed => record.failures += 1.0,
             Exchange::Unreachable => {
                 record.failures += 1.0;
-                record.away = Some(now + AWAY);
+                record.unreachable = Some(now + UNREACHABLE_PAUSE);
             }
         }
     }
 
-    /// What an upstream said of its load.
+    /// Records the number of running and waiting requests that `id` reported.
     pub fn on_load(&mut self, now: Instant, id: &str, busy: u32) {
         let record = self.records.entry(id.to_owned()).or_default();
-        record.told = busy;
-        record.told_at = now;
+        record.load = busy;
+        record.load_at = now;
     }
 
-    /// Forgets upstreams that are not registered any more.
+    /// Drops upstreams that are no longer registered and have no open requests.
     pub fn retain(&mut self, known: impl Fn(&str) -> bool) {
         self.records.retain(|id, record| record.open > 0 || known(id));
     }
 
-    /// Whether others are to be tried first.
+    /// Returns whether the others should be tried before `id`.
     pub fn is_suspect(&self, now: Instant, id: &str) -> bool {
         self.records.get(id).is_some_and(|record| {
-            record.faded(now) >= SUSPECT || record.away.is_some_and(|until| until > now)
+            record.recent_failures(now) >= SUSPECT_FAILURES
+                || record.unreachable.is_some_and(|until| until > now)
         })
     }
 
-    /// Requests there, as far as is known.
+    /// Returns the number of requests at `id`: the open requests from this daemon, or
+    /// the reported load if that is recent and larger.
     pub fn busy(&self, now: Instant, id: &str) -> u32 {
         self.records.get(id).map_or(0, |record| {
-            let told = if now.since(record.told_at) < TOLD { record.told } else { 0 };
-            record.open.max(told)
+            let load = if now.since(record.load_at) < REPORT_AGE_MAX { record.load } else { 0 };
+            record.open.max(load)
         })
     }
 
-    /// The least busy of `ids`, healthy ones first; equals go by `draw`.
+    /// Returns the least busy of `ids`, healthy ones first. `draw`, a random number,
+    /// breaks ties.
     pub fn choose<'a>(
         &self,
         now: Instant,
         ids: impl Iterator<Item = &'a str>,
         draw: u64,
     ) -> Option<&'a str> {
-        let mix = |at: usize| (at as u64).wrapping_add(draw).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let tie_break =
+            |at: usize| (at as u64).wrapping_add(draw).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         ids.enumerate()
-            .min_by_key(|(at, id)| (self.is_suspect(now, id), self.busy(now, id), mix(*at)))
+            .min_by_key(|(at, id)| (self.is_suspect(now, id), self.busy(now, id), tie_break(*at)))
             .map(|(_, id)| id)
     }
 }
 
 impl Record {
-    fn faded(&self, now: Instant) -> f64 {
-        let age = now.since(self.at).as_micros() as f64;
-        self.failures * (-age / HALF_LIFE.as_micros() as f64).exp2()
+    /// Returns the number of failures, decayed up to `now`.
+    fn recent_failures(&self, now: Instant) -> f64 {
+        let age = now.since(self.updated).as_micros() as f64;
+        self.failures * (-age / FAILURE_HALF_LIFE.as_micros() as f64).exp2()
     }
 }
--- a/kingcupbay_core/src/placement.rs
+++ b/kingcupbay_core/src/placement.rs
@@ -1,11 +1,12 @@
-//! Which engine a generation is sent to.
+//! Placement: which engine a generation request is sent to.
 //!
-//! Every entry ranks the engines for an adapter in the same order, so an
-//! adapter has one home over the whole fleet and is loaded once; an engine that
-//! held it before also loads it ten times as fast. Engines that hold an adapter
-//! share its requests: the least busy one takes the next. While all of them are
-//! busier than the others, the next engine in the order is asked to load a copy, so
-//! a popular adapter has as many copies as its demand needs.
+//! Every entry sorts the engines for an adapter in the same order by rendezvous
+//! hashing. The first engine is the adapter's home, so that the fleet loads the adapter
+//! once. An engine that held an adapter before also loads it ten times as fast.
+//!
+//! The engines that hold an adapter share its requests: the least busy one gets the
+//! next. While all of them are busier than the other engines, the next engine in the
+//! order is asked to load a replica, so the number of replicas follows demand.
 
 use std::{
     collections::BTreeMap,
@@ -19,172 +20,176 @@
     wire::sidecar::Pressure,
 };
 
-/// An engine is too busy for more of its adapters when its pressure is above
-/// the mean by this factor. A smaller one makes more copies.
-const OVER_MEAN: f64 = 1.6;
+/// Factor above the mean load from which an engine counts as busy. A smaller factor
+/// makes more replicas.
+const BUSY_MEAN_FACTOR: f64 = 1.6;
 
-/// Pressure, as part of the places taken, that is never too busy: sharing out
-/// a load this small only makes more copies.
-const EASY: f64 = 0.4;
+/// Load, as a fraction of the slots in use, up to which an engine never counts as
+/// busy. Spreading a load this small only makes more replicas.
+const BUSY_LOAD_MIN: f64 = 0.4;
 
-/// Time to read waiting prompts, in milliseconds, that counts as much as all
-/// places taken.
-const DELAY_SCALE: f64 = 1_500.0;
+/// Prefill time of waiting prompts, in milliseconds, that counts as much as all slots
+/// in use.
+const PREFILL_DELAY_SCALE_MS: f64 = 1_500.0;
 
-/// Pressure up to which an engine that holds an adapter takes a request although
-/// it is busy, as another one would have to load the adapter first. At 1 all its
-/// places are taken or prompts wait for [`DELAY_SCALE`], and a load is sooner.
-/// The copy is asked for beside it, as requests that go to the next engine at once
-/// wait for the copy there.
-const HOLDER: f64 = 1.0;
+/// Load up to which an engine that holds an adapter still gets requests for it when
+/// busy, as another engine would have to load the adapter first. At 1, all its slots
+/// are in use or prompts wait for [`PREFILL_DELAY_SCALE_MS`], and loading the adapter
+/// elsewhere is faster. Until then the replica is loaded in parallel, as requests sent
+/// to the next engine at once would wait for the load there.
+const HOLDER_LOAD_MAX: f64 = 1.0;
 
-/// Pause between two copies of one adapter that this entry asks for: a load at full
-/// speed, three times as long when the weight store is busy, and the word of it.
-const COPIES: Span = Span::from_millis(1_000);
+/// Pause between two replicas of one adapter that this entry requests. It covers a
+/// load at full speed (three times as long when the weight store is busy) and its
+/// report.
+const REPLICA_PAUSE: Span = Span::from_millis(1_000);
 
-/// What an engine said longer ago than this says nothing of how busy it is.
-const STALE: Span = Span::from_secs(2);
+/// Age at which an engine's load report is ignored.
+const REPORT_AGE_MAX: Span = Span::from_secs(2);
 
-/// An engine that told nothing for this long is tried after the others. Six
-/// reports in a row are missing then.
-const SILENT: Span = Span::from_millis(1_500);
+/// Time without a load report after which an engine is tried after the others. By
+/// then six reports in a row are missing.
+const SILENCE_MAX: Span = Span::from_millis(1_500);
 
-/// What is known of one engine.
+/// One engine, as of its last load report.
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct EngineState {
     pressure: Pressure,
-    /// When it was told.
-    at: Option<Instant>,
-    /// Requests sent there since.
-    since: u32,
+    /// When the report arrived.
+    reported: Option<Instant>,
+    /// Requests sent to the engine since then.
+    sent: u32,
 }
 
-/// The engines as one entry sees them.
+/// State of the engines, as one entry knows it.
 #[derive(Debug, Default)]
 pub struct Placement {
-    engines: BTreeMap<SocketAddr, Seen>,
-    /// When a copy of an adapter was last asked for.
-    copies: BTreeMap<AdapterName, Instant>,
+    engines: BTreeMap<SocketAddr, EngineState>,
+    /// When a replica of each adapter was last requested.
+    replicas: BTreeMap<AdapterName, Instant>,
 }
 
 impl Placement {
-    /// Takes what the daemon beside an engine told. Whether it is known by now
-    /// what the engine holds.
+    /// Applies a load report from an engine's sidecar. Returns whether the engine's
+    /// resident adapters are known by now.
     pub fn on_load_report(&mut self, now: Instant, engine: SocketAddr, pressure: Pressure) -> bool {
         let before = self.engines.remove(&engine);
-        let held = pressure.held.or_else(|| before.and_then(|seen| seen.pressure.held));
+        let held = pressure.held.or_else(|| before.and_then(|state| state.pressure.held));
         let known = held.is_some();
         let pressure = Pressure { held, ..pressure };
-        self.engines.insert(engine, Seen { pressure, at: Some(now), since: 0 });
+        self.engines.insert(engine, EngineState { pressure, reported: Some(now), sent: 0 });
         known
     }
 
-    /// A request was sent there.
+    /// Records that a request was sent to `engine`.
     pub fn on_send(&mut self, engine: SocketAddr) {
-        self.engines.entry(engine).or_default().since += 1;
+        self.engines.entry(engine).or_default().sent += 1;
     }
 
-    /// A request was refused there, or did not arrive.
+    /// Records that a request to `engine` was refused, or did not arrive.
     pub fn on_refusal(&mut self, engine: SocketAddr) {
-        let seen = self.engines.entry(engine).or_default();
-        seen.since = seen.since.saturating_sub(1);
+        let state = self.engines.entry(engine).or_default();
+        state.sent = state.sent.saturating_sub(1);
     }
 
-    /// Whether the daemon beside `engine` has stopped telling anything.
+    /// Returns whether the sidecar of `engine` has stopped sending load reports.
     pub fn is_silent(&self, now: Instant, engine: SocketAddr) -> bool {
-        let at = self.engines.get(&engine).and_then(|seen| seen.at);
-        at.is_some_and(|at| now.since(at) >= SILENT)
+        let reported = self.engines.get(&engine).and_then(|state| state.reported);
+        reported.is_some_and(|reported| now.since(reported) >= SILENCE_MAX)
     }
 
-    /// The version in which `engine` was last known to hold `name`.
+    /// Returns the version of `name` that `engine` last reported as resident.
     pub fn resident_version(&self, engine: SocketAddr, name: &AdapterName) -> Option<u32> {
         resident_version(self.engines.get(&engine)?.pressure.held.as_deref()?, name)
     }
 
-    /// The best of `candidates` for `name`.
+    /// Returns the best of `candidates` for a request of `name`.
     pub fn choose(
         &self,
         now: Instant,
         name: &AdapterName,
         candidates: &[SocketAddr],
     ) -> Option<SocketAddr> {
-        let bound = self.bound(now, candidates);
-        let order = ranked(name, candidates);
-        let busy = |engine: &SocketAddr| self.pressure(now, *engine);
-        let less = |a: &SocketAddr, b: &SocketAddr| busy(a).total_cmp(&busy(b));
+        let busy_from = self.busy_threshold(now, candidates);
+        let order = preference_order(name, candidates);
+        let load = |engine: &SocketAddr| self.load(now, *engine);
+        let less = |a: &SocketAddr, b: &SocketAddr| load(a).total_cmp(&load(b));
         let holders =
             order.iter().copied().filter(|&engine| self.resident_version(engine, name).is_some());
-        // The first holder in the order would take all until it is busy, and
-        // prompts for it, or for the base model that all hold, wait for each
-        // other meanwhile.
-        let holder = holders.filter(|engine| busy(engine) < bound.max(HOLDER)).min_by(less);
-        let calm = order.iter().copied().find(|engine| busy(engine) <= bound);
-        holder.or(calm).or_else(|| candidates.iter().copied().min_by(less))
+        // Not the first holder in the order: it would get every request until it is
+        // busy, and prompts for the adapter, or for the base model that all engines
+        // hold, would queue there meanwhile.
+        let holder =
+            holders.filter(|engine| load(engine) < busy_from.max(HOLDER_LOAD_MAX)).min_by(less);
+        let idle = order.iter().copied().find(|engine| load(engine) <= busy_from);
+        holder.or(idle).or_else(|| candidates.iter().copied().min_by(less))
     }
 
-    /// Where to make a copy of `name`, whose holders are all busy; asked for again
-    /// only after a while.
+    /// Returns the engine that should load a replica of `name`, if all its holders are
+    /// busy. After that, returns none for the adapter for [`REPLICA_PAUSE`].
     pub fn choose_replica(
         &mut self,
         now: Instant,
         name: &AdapterName,
         candidates: &[SocketAddr],
     ) -> Option<SocketAddr> {
-        self.copies.retain(|_, at| now.since(*at) < COPIES);
-        if name.adapter.is_none() || self.copies.contains_key(name) {
+        self.replicas.retain(|_, at| now.since(*at) < REPLICA_PAUSE);
+        if name.adapter.is_none() || self.replicas.contains_key(name) {
             return None;
         }
-        let bound = self.bound(now, candidates);
-        let calm = |engine: &SocketAddr| self.pressure(now, *engine) <= bound;
-        let (holders, others): (Vec<SocketAddr>, Vec<SocketAddr>) = ranked(name, candidates)
-            .into_iter()
-            .partition(|&engine| self.resident_version(engine, name).is_some());
-        if holders.is_empty() || holders.iter().any(calm) {
+        let busy_from = self.busy_threshold(now, candidates);
+        let idle = |engine: &SocketAddr| self.load(now, *engine) <= busy_from;
+        let (holders, others): (Vec<SocketAddr>, Vec<SocketAddr>) =
+            preference_order(name, candidates)
+                .into_iter()
+                .partition(|&engine| self.resident_version(engine, name).is_some());
+        if holders.is_empty() || holders.iter().any(idle) {
             return None;
         }
-        let engine = others.into_iter().find(calm)?;
-        self.copies.insert(name.clone(), now);
+        let engine = others.into_iter().find(idle)?;
+        self.replicas.insert(name.clone(), now);
         Some(engine)
     }
 
-    /// Pressure above which one of `candidates` is too busy.
-    fn bound(&self, now: Instant, candidates: &[SocketAddr]) -> f64 {
-        (self.mean(now, candidates) * OVER_MEAN).max(EASY)
+    /// Returns the load above which one of `candidates` counts as busy.
+    fn busy_threshold(&self, now: Instant, candidates: &[SocketAddr]) -> f64 {
+        (self.mean_load(now, candidates) * BUSY_MEAN_FACTOR).max(BUSY_LOAD_MIN)
     }
 
-    /// How busy an engine is: the part of its places that is taken, and the
-    /// prompts that wait.
-    fn pressure(&self, now: Instant, engine: SocketAddr) -> f64 {
-        let Some(seen) = self.engines.get(&engine) else { return 0.0 };
-        let told = &seen.pressure;
-        let slots = f64::from(told.slots.max(1));
-        let sent = f64::from(seen.since) / slots;
-        let fresh = seen.at.is_some_and(|at| now.since(at) < STALE);
+    /// Returns the load of an engine: the fraction of its slots in use, with requests
+    /// sent since its report, plus the prefill time of waiting prompts over
+    /// [`PREFILL_DELAY_SCALE_MS`].
+    fn load(&self, now: Instant, engine: SocketAddr) -> f64 {
+        let Some(state) = self.engines.get(&engine) else { return 0.0 };
+        let report = &state.pressure;
+        let slots = f64::from(report.slots.max(1));
+        let sent = f64::from(state.sent) / slots;
+        let fresh = state.reported.is_some_and(|reported| now.since(reported) < REPORT_AGE_MAX);
         match fresh {
             true => {
-                let taken = f64::from(told.running + told.waiting) / slots;
-                taken + told.delay.as_millis() as f64 / DELAY_SCALE + sent
+                let used = f64::from(report.running + report.waiting) / slots;
+                used + report.delay.as_millis() as f64 / PREFILL_DELAY_SCALE_MS + sent
             }
             false => sent,
         }
     }
 
-    fn mean(&self, now: Instant, candidates: &[SocketAddr]) -> f64 {
-        let sum: f64 = candidates.iter().map(|&engine| self.pressure(now, engine)).sum();
+    fn mean_load(&self, now: Instant, candidates: &[SocketAddr]) -> f64 {
+        let sum: f64 = candidates.iter().map(|&engine| self.load(now, engine)).sum();
         sum / candidates.len().max(1) as f64
     }
 }
 
-/// `candidates` in the order for `name`, its home first.
-fn ranked(name: &AdapterName, candidates: &[SocketAddr]) -> Vec<SocketAddr> {
+/// Sorts `candidates` by preference for `name`, its home first.
+fn preference_order(name: &AdapterName, candidates: &[SocketAddr]) -> Vec<SocketAddr> {
     let mut order: Vec<(u64, SocketAddr)> =
-        candidates.iter().map(|&engine| (weight(name, engine), engine)).collect();
+        candidates.iter().map(|&engine| (rendezvous_hash(name, engine), engine)).collect();
     order.sort_unstable();
     order.into_iter().map(|(_, engine)| engine).collect()
 }
 
-/// Rank of `engine` for `name`, the same at every entry of one build.
-fn weight(name: &AdapterName, engine: SocketAddr) -> u64 {
+/// Hashes `name` with `engine`. The result is the same at every entry of one build.
+fn rendezvous_hash(name: &AdapterName, engine: SocketAddr) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.model.hash(&mut hasher);
     name.adapter.hash(&mut hasher);
