--- a/kingcupbay_core/src/deployment/catalogue.rs
+++ b/kingcupbay_core/src/deployment/catalogue.rs
@@ -1,4 +1,5 @@
-//! The newest of everything that a daemon has learned from the store.
+//! The newest state of the deployment that a daemon knows: configuration, versions,
+//! upstreams and other daemons.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,58 +20,59 @@
     model::{AdapterName, Deployment, Instance},
 };
 
-/// Another daemon of the fleet, as it has registered itself.
+/// Registration of another daemon of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Member {
-    /// Its host's name.
+    /// Name of its host.
     pub host: String,
     /// Its role.
     pub role: Role,
-    /// Where it takes messages of other daemons.
+    /// Address at which it accepts messages of other daemons.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: String,
-    /// Drawn at its start, so that a restart is told from a stall.
+    /// Drawn at its start, to distinguish a restart from a stall.
     pub incarnation: u64,
 }
 
-/// What a daemon knows of the deployment.
+/// State of the deployment, as far as a daemon knows it.
 #[derive(Clone, Debug, Default)]
 pub struct Catalogue {
     /// The configuration in force; `None` until one is known.
     deployment: Option<Rc<Deployment>>,
-    /// Newest version of each adapter and base model that was ever announced.
+    /// Newest announced version of each adapter and base model.
     versions: BTreeMap<AdapterName, u32>,
     /// Registered upstreams by id.
     instances: BTreeMap<String, Rc<Instance>>,
-    /// Upstreams that vanished while the store was away, by when that showed.
-    /// Invariant: all are among `instances`.
+    /// Upstreams that were missing from the store after an outage, with the time at
+    /// which that was noticed. Invariant: all are in `instances`.
     missing: BTreeMap<String, Instant>,
-    /// Upstreams at whose address another one has started since. Their rows outlast them
-    /// for some heartbeats. Invariant: all are among `instances`.
+    /// Upstreams at whose address another one has started since. Their rows remain in
+    /// the store for some heartbeats. Invariant: all are in `instances`.
     replaced: BTreeSet<String>,
-    /// Upstreams that left.
+    /// Upstreams that have left.
     departures: Departures,
     /// Daemons by host.
     members: BTreeMap<String, Member>,
 }
 
-/// How long an upstream that vanished around an outage of the store is still
-/// used: the registration lapses while nobody can renew it, and those that
-/// live are back within two seconds of the store's return.
-const LAPSE: Span = Span::from_millis(2_500);
+/// How long an upstream is still used whose registration is missing after an outage of
+/// the store. Registrations expire while they cannot be renewed, and running upstreams
+/// register again within two seconds of the store's recovery.
+const MISSING_MAX: Span = Span::from_millis(2_500);
 
 impl Catalogue {
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn deployment(&self) -> Option<&Rc<Deployment>> {
         self.deployment.as_ref()
     }
 
-    /// Takes `next` unless it is older than what is in force. Says whether it
-    /// was taken. A version never goes back while the process lives: a read
-    /// that was answered late, or a peer that lags, must not revive a dropped
-    /// route or a withdrawn key.
+    /// Applies `next` if it is newer than the configuration in force, and returns
+    /// whether it was applied.
+    ///
+    /// The configuration number never decreases while the process runs: a stale read or
+    /// a peer that lags must not restore a removed route or a withdrawn key.
     pub fn on_deployment(&mut self, next: Deployment) -> bool {
         if self.deployment.as_ref().is_some_and(|now| now.number >= next.number) {
             return false;
@@ -79,18 +81,18 @@
         true
     }
 
-    /// Newest announced version of an adapter.
+    /// Returns the newest announced version of an adapter.
     pub fn version(&self, name: &AdapterName) -> Option<u32> {
         self.versions.get(name).copied()
     }
 
-    /// Every announced version.
+    /// Returns the newest announced version of each adapter and base model.
     pub fn versions(&self) -> &BTreeMap<AdapterName, u32> {
         &self.versions
     }
 
-    /// Takes an announced version unless a newer one is known; says whether
-    /// it was taken.
+    /// Applies an announced version if it is newer than the known one, and returns
+    /// whether it was applied.
     pub fn on_version(&mut self, name: AdapterName, version: u32) -> bool {
         let known = self.versions.entry(name).or_default();
         let newer = version > *known;
@@ -98,34 +100,38 @@
         newer
     }
 
-    /// An upstream by id.
+    /// Returns the registration of an upstream.
     pub fn instance(&self, id: &str) -> Option<&Rc<Instance>> {
         self.instances.get(id)
     }
 
-    /// Every registered upstream.
+    /// Returns all registered upstreams.
     pub fn instances(&self) -> impl Iterator<Item = &Rc<Instance>> {
         self.instances.values()
     }
 
-    /// Upstreams of `service` that take new work.
+    /// Returns the upstreams of `service` that get new requests: those that are neither
+    /// leaving nor replaced at their address.
     pub fn serving<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Rc<Instance>> {
-        let takes = |row: &&Rc<Instance>| !row.leaving && !self.replaced.contains(&row.id);
-        self.instances().filter(move |row| row.service == service).filter(takes)
+        let accepts = |row: &&Rc<Instance>| !row.leaving && !self.replaced.contains(&row.id);
+        self.instances().filter(move |row| row.service == service).filter(accepts)
     }
 
-    /// Those of them that are listed, or the missing ones where no other is left. After
-    /// a cut of all entries nobody can tell whether an upstream that is missing lapsed
-    /// or left; a booking at one that is listed is safe. Engines are not picked so: the
-    /// first to be back after an outage would have to load the adapters of all, and the
-    /// daemon beside one that left gives no places.
+    /// Returns the upstreams of `service` that get new requests and are listed in the
+    /// store, or the missing ones if none is listed.
+    ///
+    /// If all entries were cut off, none knows whether a missing upstream has left or
+    /// its registration has only expired, and a request to a listed one is safe. Engines
+    /// are not chosen this way: the first to register after an outage would have to load
+    /// the adapters of all, and the sidecar of an engine that left grants no permits.
     pub fn listed<'a>(&'a self, service: &'a str) -> Vec<&'a Rc<Instance>> {
         let is_missing = |row: &&Rc<Instance>| self.missing.contains_key(&row.id);
         let (missing, listed): (Vec<_>, Vec<_>) = self.serving(service).partition(is_missing);
         if listed.is_empty() { missing } else { listed }
     }
 
-    /// Takes a registration unless newer is known of the upstream.
+    /// Applies a registration read from the store, unless a newer state of the upstream
+    /// is known.
     pub fn on_instance(&mut self, now: Instant, row: Instance) {
         if self.is_outdated(&row) {
             return;
@@ -143,14 +149,15 @@
         self.missing.remove(&row.id);
         let address = row.address;
         let before = self.instances.insert(row.id.clone(), Rc::new(row));
-        self.find_replaced(address);
+        self.update_replaced(address);
         if let Some(before) = before.filter(|before| before.address != address) {
-            self.find_replaced(before.address);
+            self.update_replaced(before.address);
         }
     }
 
-    /// Only the upstream that started last can be at `address`.
-    fn find_replaced(&mut self, address: SocketAddr) {
+    /// Updates which upstreams at `address` count as replaced: all but the one that
+    /// started last.
+    fn update_replaced(&mut self, address: SocketAddr) {
         let there = || self.instances.values().filter(|row| row.address == address);
         let last = there().map(|row| row.born).max().unwrap_or_default();
         for row in there() {
@@ -161,19 +168,19 @@
         }
     }
 
-    /// Whether other entries have to hear of `row`. One that was missing is news to
-    /// those that miss it too.
+    /// Returns whether other entries need a report of `row`. They do if the upstream was
+    /// missing, as they may miss it too.
     pub fn needs_report(&self, row: &Instance) -> bool {
         let before = self.instances.get(&row.id);
         self.missing.contains_key(&row.id) || before.is_none_or(|before| row.needs_report(before))
     }
 
-    /// Takes a change that another entry has read.
+    /// Applies a change that another entry has read from the store.
     pub fn on_reported_change(&mut self, now: Instant, change: Changed) {
         let version = change.version;
         match change.what {
             What::Upstream(row) if row.leaving => {
-                self.departures.on_told(now, &row.id, version);
+                self.departures.on_report(now, &row.id, version);
                 if !self.is_outdated(&row) {
                     self.insert(row);
                 }
@@ -181,7 +188,7 @@
             What::Upstream(row) => self.on_instance(now, row),
             What::UpstreamGone(id) => {
                 if self.instances.get(&id).is_some_and(|known| known.version <= version) {
-                    self.departures.on_told(now, &id, version);
+                    self.departures.on_report(now, &id, version);
                     self.drop_instance(&id);
                 }
             }
@@ -190,9 +197,11 @@
         }
     }
 
-    /// Whether newer is known than `row`: reads may lag once the store has dropped its
-    /// history, another entry may have told that the upstream left, and what it wrote
-    /// before that may reach the store after it.
+    /// Returns whether a newer state than `row` is known.
+    ///
+    /// Reads may lag once the store has dropped its history, another entry may have
+    /// reported that the upstream left, and an earlier write of the upstream may reach
+    /// the store after a later one.
     fn is_outdated(&self, row: &Instance) -> bool {
         let left = self.departures.version(&row.id).unwrap_or_default();
         let known = self.instances.get(&row.id).is_some_and(|known| {
@@ -201,7 +210,8 @@
         known || row.version < left
     }
 
-    /// An upstream's registration is gone as of `version`; it gets nothing new.
+    /// Removes an upstream whose registration was deleted as of `version`, unless a
+    /// newer one is known.
     pub fn on_instance_gone(&mut self, now: Instant, id: &str, version: u64) {
         if self.instances.get(id).is_none_or(|known| known.version > version) {
             return;
@@ -210,10 +220,10 @@
         self.drop_instance(id);
     }
 
-    /// Another entry tells that an upstream has left as of `version`. Says whether
-    /// that was news.
+    /// Applies another entry's report that an upstream has left as of `version`, and
+    /// returns whether that was not known yet.
     pub fn on_departure_report(&mut self, now: Instant, id: &str, version: u64) -> bool {
-        self.departures.on_told(now, id, version);
+        self.departures.on_report(now, id, version);
         let newer = |known: &&Rc<Instance>| known.version < version && !known.leaving;
         let Some(known) = self.instances.get(id).filter(newer) else { return false };
         let left = Instance { leaving: true, version, ..Instance::clone(known) };
@@ -221,13 +231,16 @@
         true
     }
 
-    /// What the next tally tells of upstreams that have left.
+    /// Returns the departures to name in the next usage report, with the versions of the
+    /// store that show them. `whole` says whether that report is a full one.
     pub fn departures_to_report(&mut self, now: Instant, whole: bool) -> BTreeMap<String, u64> {
-        self.departures.tell(now, whole)
+        self.departures.report(now, whole)
     }
 
-    /// Takes the whole list of registrations as of `version`. After an outage of the
-    /// store the ones that are missing stay for a while: see [`LAPSE`]. Says which do.
+    /// Applies the complete list of registrations as of `version`.
+    ///
+    /// After an outage of the store, upstreams that are not listed are kept for
+    /// [`MISSING_MAX`]. Returns the ids of the upstreams that are missing.
     pub fn on_instances(
         &mut self,
         now: Instant,
@@ -244,7 +257,7 @@
         let absent: Vec<Rc<Instance>> = self.instances.values().filter(absent).cloned().collect();
         for row in absent {
             match after_outage && !row.leaving {
-                // One that is missing already is not given more time.
+                // The time of an upstream that is already missing is not extended.
                 true => drop(self.missing.entry(row.id.clone()).or_insert(now)),
                 false => self.drop_instance(&row.id),
             }
@@ -256,17 +269,18 @@
         self.missing.remove(id);
         self.replaced.remove(id);
         if let Some(row) = self.instances.remove(id) {
-            self.find_replaced(row.address);
+            self.update_replaced(row.address);
         }
     }
 
-    /// Drops upstreams that did not come back after an outage, and says which.
+    /// Drops upstreams that did not register again after an outage, and returns their
+    /// ids.
     pub fn on_tick(&mut self, now: Instant) -> Vec<String> {
-        let over = |since: &Instant| now.since(*since) >= LAPSE;
+        let expired = |since: &Instant| now.since(*since) >= MISSING_MAX;
         let gone: Vec<String> = self
             .missing
             .iter()
-            .filter(|(_, since)| over(since))
+            .filter(|(_, since)| expired(since))
             .map(|(id, _)| id.clone())
             .collect();
         for id in &gone {
@@ -275,29 +289,29 @@
         gone
     }
 
-    /// Every known daemon.
+    /// Returns all known daemons.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Daemons of one role.
+    /// Returns the daemons of one role.
     pub fn of_role(&self, role: Role) -> impl Iterator<Item = &Member> {
         self.members().filter(move |member| member.role == role)
     }
 
-    /// Takes a daemon's registration.
+    /// Applies a daemon's registration.
     pub fn on_member(&mut self, member: Member) {
-        // A replacement at a dead host's address takes its place.
+        // A host that reuses the address of a dead one replaces it.
         self.members.retain(|_, other| other.address != member.address);
         self.members.insert(member.host.clone(), member);
     }
 
-    /// A daemon's registration is gone.
+    /// Removes a daemon whose registration was deleted.
     pub fn on_member_gone(&mut self, host: &str) {
         self.members.remove(host);
     }
 
-    /// Takes the whole list of daemons.
+    /// Applies the complete list of daemons.
     pub fn on_members(&mut self, rows: Vec<Member>) {
         self.members.clear();
         for row in rows {
--- a/kingcupbay_core/src/deployment/catchup.rs
+++ b/kingcupbay_core/src/deployment/catchup.rs
@@ -1,11 +1,10 @@
-//! When to ask another entry for a configuration that it has and this one
-//! lacks.
+//! When to fetch a newer configuration from another entry.
 //!
-//! Tallies carry the number that their sender acts on, ten a second from each of
-//! many. An entry that lags because the store is away for it must learn of
-//! withdrawn keys from the others, but one fetch for each tally is a storm: it
-//! fills the links of the hosts that know more, so that no fetch ends in time,
-//! and lasts for as long as it prevents what would end it.
+//! Usage reports carry the configuration number that their sender acts on. Each of
+//! many entries sends up to ten a second. An entry that cannot reach the store must
+//! learn of withdrawn keys from the others. One fetch per usage report would saturate
+//! the links of the hosts that have the newer configuration, so that no fetch completes
+//! in time and the overload sustains itself.
 
 use crate::{
     id::Number,
@@ -14,24 +13,23 @@
 
 use super::waits::{FETCH_PAUSE_MIN, OWN_FEED_DELAY};
 
-/// Longest pause; it doubles with each fetch that brought nothing. A withdrawn key has
-/// to be dead some seconds later.
-const PAUSE_MAX: Span = Span::from_secs(2);
+/// Longest pause between fetches. The pause doubles with each fetch after which this
+/// entry is still behind. A withdrawn key must be refused within some seconds.
+const FETCH_PAUSE_MAX: Span = Span::from_secs(2);
 
-/// How far this entry has been behind, and what it did about it.
+/// Tracks how long this entry has been behind, and schedules fetches.
 #[derive(Clone, Debug)]
 pub struct CatchUp {
-    /// Newest number that was heard of.
+    /// Newest configuration number seen in a usage report.
     newest: Number,
-    /// Number that this entry acted on when it was last looked at.
+    /// Number that this entry acted on at the last check.
     own: Number,
-    /// Since when it has been behind with that number. A change that others tell of
-    /// meanwhile does not begin this anew: the feed that hears nothing of one change
-    /// hears nothing of the next one.
+    /// Since when it has been behind with that number. A further change that others
+    /// report does not reset this: a feed that misses one change misses the next too.
     behind: Option<Instant>,
-    /// A fetch is on its way.
-    asking: bool,
-    /// No fetch before this.
+    /// Whether a fetch is running.
+    fetching: bool,
+    /// Earliest time of the next fetch.
     next: Instant,
     /// Pause after the next fetch.
     pause: Span,
@@ -43,7 +41,7 @@
             newest: Number::default(),
             own: Number::default(),
             behind: None,
-            asking: false,
+            fetching: false,
             next: Instant::default(),
             pause: FETCH_PAUSE_MIN,
         }
@@ -51,18 +49,19 @@
 }
 
 impl CatchUp {
-    /// Newest number that was heard of.
+    /// Returns the newest configuration number seen in a usage report.
     pub fn newest(&self) -> Number {
         self.newest
     }
 
-    /// Another entry acts on `theirs`.
+    /// Records that another entry acts on `theirs`.
     pub fn on_number(&mut self, theirs: Number) {
         self.newest = self.newest.max(theirs);
     }
 
-    /// Another entry acts on `theirs`, this one on `own`: whether to ask that
-    /// one now. If so, [`CatchUp::on_fetch_end`] is owed.
+    /// Returns whether to fetch the configuration now from an entry that acts on
+    /// `theirs`, while this one acts on `own`. If so, the caller must call
+    /// [`CatchUp::on_fetch_end`] afterwards.
     pub fn begin_fetch(&mut self, now: Instant, own: Number, theirs: Number) -> bool {
         self.on_number(theirs);
         if own >= self.newest || own > self.own {
@@ -73,23 +72,23 @@
             return false;
         }
         let since = *self.behind.get_or_insert(now);
-        if now.since(since) < OWN_FEED_DELAY || self.asking || now < self.next {
+        if now.since(since) < OWN_FEED_DELAY || self.fetching || now < self.next {
             return false;
         }
-        self.asking = true;
+        self.fetching = true;
         true
     }
 
-    /// The fetch has ended; `own` is the number that this entry acts on now.
+    /// Records the end of a fetch, after which this entry acts on `own`.
     pub fn on_fetch_end(&mut self, now: Instant, own: Number) {
-        self.asking = false;
+        self.fetching = false;
         let caught_up = own >= self.newest;
         if caught_up {
             self.pause = FETCH_PAUSE_MIN;
         }
         self.next = now + self.pause;
         if !caught_up {
-            self.pause = Span::from_micros(self.pause.as_micros() * 2).min(PAUSE_MAX);
+            self.pause = Span::from_micros(self.pause.as_micros() * 2).min(FETCH_PAUSE_MAX);
         }
     }
 }
--- a/kingcupbay_core/src/deployment/departures.rs
+++ b/kingcupbay_core/src/deployment/departures.rs
@@ -1,89 +1,90 @@
-//! Which upstreams have left, as entries tell each other.
+//! Upstreams that have left, as entries report them to each other.
 //!
-//! An entry that is cut off from the store, or whose feed hears nothing, goes on
-//! sending to an upstream that left; once it reads the store again it cannot tell
-//! such a one from one whose registration lapsed while nobody could renew it. Any
-//! other entry that saw it leave can, so those that did name it in their tallies.
+//! An entry that is cut off from the store, or whose feed misses changes, keeps sending
+//! to an upstream that has left. When it reads the store again, it cannot distinguish
+//! that upstream from one whose registration expired while it could not be renewed.
+//! Entries that saw the upstream leave can, so they name it in their usage reports.
 
 use std::collections::BTreeMap;
 
 use crate::time::{Instant, Span};
 
-/// How long a departure is told: who was cut off from everybody meanwhile hears of it
-/// when the cut is over.
-const KEPT: Span = Span::from_secs(60);
+/// How long a departure is reported. It must outlast the time for which an entry may be
+/// cut off from all others.
+const REPORTED_FOR: Span = Span::from_secs(60);
 
-/// Tallies that name a new departure, whatever else they name: one or two may be
-/// lost.
-const NEWS: u32 = 3;
+/// Number of consecutive usage reports that name a new departure. One or two of them
+/// may be lost.
+const REPORTS_PER_DEPARTURE: u32 = 3;
 
-/// Most departures in one tally, the newest first. Those of one minute are more only
-/// where nearly all upstreams are replaced.
-const TOLD_MAX: usize = 16;
+/// Largest number of departures in one usage report, the newest first. More leave
+/// within a minute only if nearly all upstreams are replaced.
+const DEPARTURES_PER_REPORT_MAX: usize = 16;
 
 /// One upstream that left.
 #[derive(Clone, Copy, Debug)]
 struct Departure {
     /// Version of the store that shows it.
     version: u64,
-    /// When this daemon learned of it last.
+    /// When this daemon last learned of it.
     learned: Instant,
-    /// Tallies that have still to name it.
-    news: u32,
-    /// The store told of it. Only then are others told, so that news does not go
-    /// round for ever.
-    first_hand: bool,
+    /// Number of usage reports that still have to name it.
+    pending: u32,
+    /// Whether this daemon read it from the store. Only then is it reported, so that
+    /// reports do not circulate for ever.
+    from_store: bool,
 }
 
-/// Upstreams that left lately, by id.
+/// Upstreams that have left lately, by id.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Departures {
     left: BTreeMap<String, Departure>,
 }
 
 impl Departures {
-    /// Version of the store at which the upstream `id` left.
+    /// Returns the version of the store at which the upstream `id` left.
     pub(super) fn version(&self, id: &str) -> Option<u64> {
         self.left.get(id).map(|departure| departure.version)
     }
 
-    /// The store tells that `id` has left.
+    /// Records that the store shows that `id` has left.
     pub(super) fn on_store(&mut self, now: Instant, id: &str, version: u64) {
-        let known = self.left.get(id).filter(|known| known.first_hand);
-        // Of one that leaves more rows may follow; they are no news.
-        let news = known.map_or(NEWS, |known| known.news);
+        let known = self.left.get(id).filter(|known| known.from_store);
+        // Further rows of a leaving upstream do not restart its reports.
+        let pending = known.map_or(REPORTS_PER_DEPARTURE, |known| known.pending);
         let version = known.map_or(version, |known| known.version.max(version));
-        let departure = Departure { version, learned: now, news, first_hand: true };
+        let departure = Departure { version, learned: now, pending, from_store: true };
         self.left.insert(id.to_owned(), departure);
     }
 
-    /// `id` is registered anew.
+    /// Drops the departure of `id`, which has registered again.
     pub(super) fn on_back(&mut self, id: &str) {
         self.left.remove(id);
     }
 
-    /// Another entry tells that `id` has left.
-    pub(super) fn on_told(&mut self, now: Instant, id: &str, version: u64) {
+    /// Records another entry's report that `id` has left.
+    pub(super) fn on_report(&mut self, now: Instant, id: &str, version: u64) {
         if self.version(id).is_none_or(|known| known < version) {
-            let departure = Departure { version, learned: now, news: 0, first_hand: false };
+            let departure = Departure { version, learned: now, pending: 0, from_store: false };
             self.left.insert(id.to_owned(), departure);
         }
     }
 
-    /// What the next tally names: what is new, or the newest of all in a `whole` one.
-    pub(super) fn tell(&mut self, now: Instant, whole: bool) -> BTreeMap<String, u64> {
-        self.left.retain(|_, departure| now.since(departure.learned) < KEPT);
-        let mut told: Vec<(&String, &mut Departure)> = self
+    /// Returns the departures to name in the next usage report, with their versions: the
+    /// new ones, or in a `whole` report the newest of all.
+    pub(super) fn report(&mut self, now: Instant, whole: bool) -> BTreeMap<String, u64> {
+        self.left.retain(|_, departure| now.since(departure.learned) < REPORTED_FOR);
+        let mut reported: Vec<(&String, &mut Departure)> = self
             .left
             .iter_mut()
-            .filter(|(_, departure)| departure.first_hand && (whole || departure.news > 0))
+            .filter(|(_, departure)| departure.from_store && (whole || departure.pending > 0))
             .collect();
-        told.sort_by_key(|(_, departure)| std::cmp::Reverse(departure.version));
-        told.truncate(TOLD_MAX);
+        reported.sort_by_key(|(_, departure)| std::cmp::Reverse(departure.version));
+        reported.truncate(DEPARTURES_PER_REPORT_MAX);
         let name = |(id, departure): (&String, &mut Departure)| {
-            departure.news = departure.news.saturating_sub(1);
+            departure.pending = departure.pending.saturating_sub(1);
             (id.clone(), departure.version)
         };
-        told.into_iter().map(name).collect()
+        reported.into_iter().map(name).collect()
     }
 }
--- a/kingcupbay_core/src/deployment/mod.rs
+++ b/kingcupbay_core/src/deployment/mod.rs
@@ -1,13 +1,13 @@
-//! What an operator declares where the platform keeps the configuration:
-//! routes, services, limits, organisations with their keys, and the newest
-//! version of each adapter.
+//! Deployment state from the platform's store: routes, services, limits, organisations
+//! with their keys, the newest version of each adapter, and the registered daemons and
+//! upstreams.
 //!
-//! [`model`] holds the declared rows, [`lookup`] answers which route a request
-//! takes and whose key it carries, [`catalogue`] keeps the newest of everything
-//! that a daemon has learned, `departures` which upstreams have left, and [`catchup`]
-//! says when to ask another daemon for what the store has not told. [`readers`] says
-//! which entries read the store for the others, [`read_positions`] how far each table is known.
-//! [`waits`] holds how long each step on a change's way may take.
+//! [`model`] defines the rows, [`lookup`] finds a request's route and caller, and
+//! [`catalogue`] keeps the newest state that a daemon knows. `departures` tracks the
+//! upstreams that have left. [`catchup`] decides when to fetch a configuration from
+//! another entry. [`readers`] selects the entries that read the store for the others,
+//! and [`read_positions`] tracks how far each table is known. [`waits`] defines the
+//! timeouts of the steps by which a change reaches an entry.
 
 pub mod catalogue;
 pub mod catchup;
--- a/kingcupbay_core/src/deployment/model.rs
+++ b/kingcupbay_core/src/deployment/model.rs
@@ -1,4 +1,4 @@
-//! Rows of a declared configuration.
+//! Data model of the operator's configuration and of the upstreams' registrations.
 
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc};
 
@@ -6,135 +6,135 @@
 
 use crate::{config::model::KeyHash, id::Number, time::Span};
 
-/// A whole configuration; it is replaced, never changed.
+/// A complete configuration. A new one replaces it as a whole.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Deployment {
-    /// Its number; of two configurations the greater number is the newer.
+    /// Configuration number. The greater of two is the newer.
     pub number: Number,
-    /// Every way for callers.
+    /// All routes.
     pub routes: Vec<Rc<Route>>,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
-    /// Bounds on what callers send.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
-    /// Organisations. Empty where requests carry no keys.
+    /// Organisations. Empty if requests carry no keys.
     pub organisations: Vec<Rc<Organisation>>,
-    /// Whose key a hash is, as an index into `organisations`.
+    /// Hashes of keys, with the index of the owner in `organisations`.
     pub keys: BTreeMap<KeyHash, usize>,
 }
 
-/// What may be repeated of a request.
+/// Whether and how a request may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// It runs at most once for each attempt of a caller.
+    /// The request runs at most once for each attempt of a caller.
     Once,
     /// A stream of events that runs at most once.
     Stream,
-    /// A stream that may go on elsewhere after the last event that came.
+    /// A stream of events that another upstream may resume after the last event
+    /// received.
     Resumable,
 }
 
 impl Repeat {
-    /// Whether a request that may have run may be sent again.
+    /// Returns whether a request that may have run may be sent again.
     pub fn repeatable(self) -> bool {
         matches!(self, Repeat::Idempotent | Repeat::Resumable)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the answer is a stream of events.
     pub fn streams(self) -> bool {
         matches!(self, Repeat::Stream | Repeat::Resumable)
     }
 }
 
-/// A way for callers to a service.
+/// Maps callers' requests to one or more services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// The host that a request names.
+    /// Host name of matching requests.
     pub host: String,
-    /// What the path begins with; it ends with a slash.
+    /// Path prefix of matching requests, which ends with a slash.
     pub prefix: String,
-    /// The services behind it with their weights. Invariant: not empty.
+    /// Services of the route, with their weights. Invariant: not empty.
     pub targets: Vec<Target>,
-    /// What may be repeated.
+    /// Whether and how requests may be sent again.
     pub repeat: Repeat,
-    /// Longest time that a request is kept waiting.
+    /// Longest time that a request waits for its answer.
     pub timeout: Span,
-    /// Time within which an answer, or a stream's first event, is on time.
+    /// Latency target of an answer, or of a stream's first event.
     pub latency_target: Span,
-    /// Longest pause between two events of a stream that is on time.
+    /// Longest allowed pause between two events of a stream.
     pub event_gap: Option<Span>,
-    /// Most upstreams that one attempt of a caller is sent to.
+    /// Largest number of upstreams that one attempt of a caller is sent to.
     pub attempts: u32,
-    /// Rank, 0 first.
+    /// Priority of its requests, 0 being the highest.
     pub priority: u8,
-    /// Whether a request needs no key.
+    /// Whether requests without a key are accepted.
     pub anonymous: bool,
 }
 
-/// One service behind a route.
+/// One service of a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The service's name.
     pub service: String,
-    /// Its share of the requests, against the sum over all targets.
+    /// Its share of the requests, relative to the sum over all targets.
     pub weight: u32,
 }
 
-/// Upstreams that serve the same.
+/// A group of interchangeable upstreams.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
-    /// Connections that one upstream accepts from all callers together.
+    /// Connections that one upstream accepts in total.
     pub connections: Option<u32>,
-    /// What its model engines can do; plain services have none.
+    /// Capacity of its model engines. `None` for plain services.
     pub engine: Option<Engine>,
 }
 
-/// What one model engine can do.
+/// Capacity of one model engine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Engine {
     /// Requests that run at once.
     pub slots: u32,
-    /// Tokens that running requests and kept prompts share.
+    /// Size of the memory that running requests and kept prompts share, in tokens.
     pub kv_tokens: u64,
-    /// Places for adapters.
+    /// Adapters that are loaded at once.
     pub adapter_slots: u32,
-    /// Room for weights in MB.
+    /// Memory for weights, in MB.
     pub weights_mb: f64,
     /// Base models by name.
     pub models: BTreeMap<String, Model>,
-    /// Loads of base models that the weight store allows a second, over all
-    /// engines.
+    /// Loads of base models per second that the weight store allows, over all engines.
     pub load_rate: Option<f64>,
 }
 
 /// A base model.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Model {
-    /// Size of its weights in MB.
+    /// Size of its weights, in MB.
     pub weights_mb: f64,
-    /// Size of one adapter in MB.
+    /// Size of one adapter, in MB.
     pub adapter_mb: f64,
 }
 
-/// Bounds on what callers send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head in bytes.
+    /// Largest request head, in bytes.
     pub head: usize,
-    /// Longest body in bytes.
+    /// Largest request body, in bytes.
     pub body: usize,
-    /// Time for a head to arrive.
+    /// Longest time until a request's head has arrived.
     pub head_timeout: Span,
     /// Time after which an idle connection may be closed.
     pub idle_timeout: Span,
 }
 
 impl Default for Limits {
-    /// What holds until a configuration is known.
+    /// Returns the limits that apply until a configuration is known.
     fn default() -> Limits {
         Limits {
             head: 16 << 10,
@@ -145,74 +145,75 @@
     }
 }
 
-/// An organisation.
+/// An organisation and its limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organisation {
-    /// Its name, which upstreams are told.
+    /// Its name, which is sent to upstreams.
     pub name: String,
-    /// Rank of its requests where it goes before the route's.
+    /// Priority of its requests, if it overrides the route's.
     pub priority: Option<u8>,
-    /// Tokens (or requests) a second over all entries; zero is no limit.
+    /// Tokens (or requests) per second over all entries. Zero means no limit.
     pub rate: u64,
-    /// Tokens (or requests) at once.
+    /// Tokens (or requests) that may be used at once.
     pub burst: u64,
-    /// What a request counts that states no tokens.
+    /// Cost of a request that states no number of tokens, in tokens.
     pub plain_cost: u64,
-    /// Whether rate and burst count tokens, not requests.
+    /// Whether rate and burst count tokens instead of requests.
     pub counts_tokens: bool,
 }
 
-/// An upstream as it has registered itself.
+/// An upstream's registration.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Instance {
-    /// Its id; a restart brings mostly a new one.
+    /// Its id. It usually changes when the upstream restarts.
     pub id: String,
     /// The service that it serves.
     pub service: String,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: String,
     /// Requests that it runs at once.
     pub slots: u32,
-    /// A leaving upstream gets nothing new.
+    /// Whether it is leaving and gets no new requests.
     pub leaving: bool,
-    /// When it started by its own clock, in milliseconds; tells a restart
-    /// under the same id.
+    /// When it started, in milliseconds of its own clock. It shows a restart under the
+    /// same id.
     pub born: u64,
-    /// Counts what it wrote since it started.
+    /// Number of its writes since it started.
     pub count: u64,
-    /// Base models that it held when it wrote this.
+    /// Base models that were loaded at the time of the write.
     pub models: Vec<String>,
-    /// Version of the store at which it wrote this.
+    /// Version of the store at the time of the write.
     pub version: u64,
 }
 
 impl Instance {
-    /// Whether another entry has to hear of this one after `before`. What an engine holds
-    /// it learns from the daemon beside that engine.
+    /// Returns whether other entries need a report of this registration if they know
+    /// `before`. Changes of the loaded models are not reported: entries learn these from
+    /// the engine's sidecar.
     pub fn needs_report(&self, before: &Instance) -> bool {
-        let place = |row: &Instance| (row.service.clone(), row.address, row.zone.clone());
+        let location = |row: &Instance| (row.service.clone(), row.address, row.zone.clone());
         self.leaving
             || before.leaving
             || self.born != before.born
             || self.slots != before.slots
-            || place(self) != place(before)
+            || location(self) != location(before)
     }
 }
 
-/// An adapter of a base model.
+/// Name of an adapter, or of a base model.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct AdapterName {
     /// The base model.
     pub model: String,
-    /// The adapter; the base model alone has none.
+    /// The adapter. `None` stands for the base model alone.
     pub adapter: Option<String>,
 }
 
-/// A loaded base model.
+/// A loaded base model and its loaded adapters.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ResidentModel {
@@ -224,11 +225,11 @@
     pub adapters: BTreeMap<String, u32>,
 }
 
-/// The version in which `name` is loaded where `held` is.
+/// Returns the version in which `held` contains `name`.
 pub fn resident_version(held: &[ResidentModel], name: &AdapterName) -> Option<u32> {
-    let held = held.iter().find(|held| held.model == name.model)?;
+    let resident = held.iter().find(|resident| resident.model == name.model)?;
     match &name.adapter {
-        Some(adapter) => held.adapters.get(adapter).copied(),
-        None => Some(held.version),
+        Some(adapter) => resident.adapters.get(adapter).copied(),
+        None => Some(resident.version),
     }
 }
--- a/kingcupbay_core/src/deployment/read_positions.rs
+++ b/kingcupbay_core/src/deployment/read_positions.rs
@@ -1,11 +1,14 @@
-//! How far this entry knows the store's tables, from the store or from other entries.
+//! Read positions: up to which version this entry knows each table of the store.
 //!
-//! If every entry read every change, the store would be called entries times changes.
-//! A few entries read ([`super::readers`]) and tell the others in their tallies how far
-//! they have read and what changed. An entry knows a table as of a version of the store;
-//! a [`Reading`] takes it further only if nothing is missing in between. One that has
-//! not been taken further for [`Table::max_age`] reads by itself, whoever the readers
-//! are and whatever became of them.
+//! If every entry read every change, the number of store calls would be the number of
+//! entries times the number of changes. Instead, a few entries read the store
+//! ([`super::readers`]). Their usage reports tell the others how far they have read and
+//! what has changed.
+//!
+//! An entry knows a table as of a version of the store. A [`Reading`] of another entry
+//! advances that version only if no change is missing in between. An entry whose position
+//! has not been confirmed for [`Table::max_age`] reads the store itself, independently of
+//! the readers.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,14 +19,15 @@
 
 use super::waits::{ENTRIES_AGE_MAX, OPERATOR_AGE_MAX, STORE_ANSWER_MAX, UPSTREAMS_AGE_MAX};
 
-/// Tallies that name a change: one may be lost.
-const TALLIES: u32 = 2;
+/// Number of usage reports that carry a change. One of them may be lost.
+const REPORTS_PER_CHANGE: u32 = 2;
 
-/// Most changes in one tally. Where more happen at once, the others read by themselves.
-const CHANGES_MAX: usize = 32;
+/// Largest number of changes in one usage report. If more happen at once, the other
+/// entries read the store themselves.
+const CHANGES_PER_REPORT_MAX: usize = 32;
 
 impl Table {
-    /// How long another entry's reading counts.
+    /// Returns the age up to which another entry's read position is valid.
     pub fn max_age(self) -> Span {
         match self {
             Table::Operator => OPERATOR_AGE_MAX,
@@ -32,44 +36,46 @@
         }
     }
 
-    /// Whether an entry that lacks changes has to read them. Otherwise another reader's
-    /// tally may have them.
-    fn is_untold(self, reading: &Reading) -> bool {
-        self == Table::Operator || reading.changes.len() >= CHANGES_MAX
+    /// Returns whether an entry that lacks changes before `reading` must read them from
+    /// the store. Otherwise another reader's usage report may carry them.
+    fn must_be_read(self, reading: &Reading) -> bool {
+        self == Table::Operator || reading.changes.len() >= CHANGES_PER_REPORT_MAX
     }
 }
 
-/// One table as this entry knows it.
+/// Read position of one table.
 #[derive(Clone, Debug, Default)]
 struct Progress {
-    /// Invariant: every change up to this version has been taken.
+    /// Invariant: every change up to this version has been applied.
     known: u64,
-    /// Version of this entry's last own read, and when the store answered.
+    /// Version of this entry's own last read, and when the store answered.
     own: Option<(u64, Instant)>,
-    /// The table was known here as of this time, by other entries' readings.
-    heard: Option<Instant>,
-    /// Version up to which there are changes that no tally has.
-    untold: u64,
+    /// Time as of which other entries' reports confirm that the table is known here.
+    confirmed: Option<Instant>,
+    /// Version up to which there are changes that no usage report carries.
+    unreported: u64,
     /// Invariant: changes after this version, up to that of `own`, are in `changes`.
     since: u64,
-    /// Changes that this entry read first, and how many tallies have still to name each.
+    /// Changes that this entry read from the store before another reported them, each
+    /// with the number of usage reports that still have to carry it.
     changes: VecDeque<(Changed, u32)>,
 }
 
-/// Every followed table.
+/// Read positions of all tables that the entry follows.
 #[derive(Clone, Debug, Default)]
 pub struct ReadPositions {
     tables: BTreeMap<Table, Progress>,
 }
 
 impl ReadPositions {
-    /// The version up to which every change of `table` has been taken.
+    /// Returns the version up to which every change of `table` has been applied.
     pub fn known(&self, table: Table) -> u64 {
         self.tables.get(&table).map_or(0, |progress| progress.known)
     }
 
-    /// The store answered with the whole table as of `version`; it last changed at
-    /// `changed`, or at `version` if removals do not show.
+    /// Records that the store answered with the complete table as of `version`. The
+    /// table last changed at `changed`; pass `version` if the answer does not show
+    /// deletions.
     pub fn on_list(&mut self, now: Instant, table: Table, version: u64, changed: u64) {
         let progress = self.tables.entry(table).or_default();
         progress.on_own(now, version);
@@ -77,7 +83,7 @@
         progress.changes.clear();
     }
 
-    /// The store answered with `changes`, up to `version`.
+    /// Records that the store answered with `changes` up to `version`.
     pub fn on_page(
         &mut self,
         now: Instant,
@@ -87,28 +93,29 @@
     ) {
         let progress = self.tables.entry(table).or_default();
         progress.on_own(now, version);
-        progress.changes.extend(changes.into_iter().map(|change| (change, TALLIES)));
-        while progress.changes.len() > CHANGES_MAX {
+        progress.changes.extend(changes.into_iter().map(|change| (change, REPORTS_PER_CHANGE)));
+        while progress.changes.len() > CHANGES_PER_REPORT_MAX {
             progress.drop_oldest();
         }
     }
 
-    /// A change at `version` was read that no tally carries.
+    /// Records that a change at `version` was read that no usage report carries.
     pub fn on_unreported(&mut self, table: Table, version: u64) {
         let progress = self.tables.entry(table).or_default();
         progress.since = progress.since.max(version);
     }
 
-    /// What the next tally tells: tables that this entry read itself lately.
+    /// Returns the read positions for the next usage report, of the tables that this
+    /// entry has recently read itself.
     pub fn report(&mut self, now: Instant) -> BTreeMap<Table, Reading> {
         let tables = self.tables.iter_mut();
         tables
-            .filter_map(|(&table, progress)| Some((table, progress.tell(now, table.max_age())?)))
+            .filter_map(|(&table, progress)| Some((table, progress.report(now, table.max_age())?)))
             .collect()
     }
 
-    /// Takes another entry's reading. What is to be taken over, in order; `None` if
-    /// changes are missing in between.
+    /// Applies another entry's read position. Returns the changes to apply, in order of
+    /// their versions, or `None` if changes are missing in between.
     pub fn on_position(
         &mut self,
         now: Instant,
@@ -117,8 +124,8 @@
     ) -> Option<Vec<Changed>> {
         let progress = self.tables.entry(table).or_default();
         if progress.known < reading.since {
-            if table.is_untold(&reading) {
-                progress.untold = progress.untold.max(reading.since);
+            if table.must_be_read(&reading) {
+                progress.unreported = progress.unreported.max(reading.since);
             }
             return None;
         }
@@ -127,29 +134,30 @@
         changes.retain(|change| known < change.version && change.version <= reading.version);
         changes.sort_by_key(|change| change.version);
         progress.known = known.max(reading.version);
-        // Who told them tells all others too.
-        let told = changes.last().map_or(0, |change| change.version);
-        progress.since = progress.since.max(told);
+        // The sender reports these changes to all other entries too.
+        let reported = changes.last().map_or(0, |change| change.version);
+        progress.since = progress.since.max(reported);
         let age = reading.age + STORE_ANSWER_MAX;
         let as_of = Instant::from_micros(now.as_micros().saturating_sub(age.as_micros()));
-        progress.heard = progress.heard.max(Some(as_of));
+        progress.confirmed = progress.confirmed.max(Some(as_of));
         Some(changes)
     }
 
-    /// For how long others' readings of `table` still count; `None` if they do not, or
-    /// show that something is missing here.
+    /// Returns for how long other entries' read positions of `table` remain valid.
+    /// `None` if they have expired, or show that changes are missing here.
     pub fn remaining(&self, now: Instant, table: Table) -> Option<Span> {
         let progress = self.tables.get(&table)?;
-        if progress.untold > progress.known {
+        if progress.unreported > progress.known {
             return None;
         }
-        let until = progress.heard? + table.max_age();
+        let until = progress.confirmed? + table.max_age();
         (until > now).then(|| until.since(now))
     }
 }
 
 impl Progress {
-    /// An answer older than what is known here shows nothing of the store as it is now.
+    /// Records an own read of `version`. An answer older than the known version is
+    /// ignored, as it does not show the current state of the store.
     fn on_own(&mut self, now: Instant, version: u64) {
         if version >= self.known {
             self.known = version;
@@ -157,7 +165,9 @@
         }
     }
 
-    fn tell(&mut self, now: Instant, limit: Span) -> Option<Reading> {
+    /// Returns the read position for the next usage report, unless the last own read is
+    /// as old as `limit`.
+    fn report(&mut self, now: Instant, limit: Span) -> Option<Reading> {
         let (version, at) = self.own?;
         let age = now.since(at);
         if age >= limit {
@@ -165,10 +175,10 @@
         }
         let since = self.since.min(version);
         let changes = self.changes.iter().map(|(change, _)| change.clone()).collect();
-        for (_, tallies) in &mut self.changes {
-            *tallies -= 1;
+        for (_, reports) in &mut self.changes {
+            *reports -= 1;
         }
-        while self.changes.front().is_some_and(|(_, tallies)| *tallies == 0) {
+        while self.changes.front().is_some_and(|(_, reports)| *reports == 0) {
             self.drop_oldest();
         }
         Some(Reading { version, age, since, changes })
--- a/kingcupbay_core/src/deployment/waits.rs
+++ b/kingcupbay_core/src/deployment/waits.rs
@@ -1,83 +1,86 @@
-//! Waits on the way of a change from the store to an entry.
+//! Timeouts and pauses between a change in the store and its arrival at an entry.
 //!
-//! They follow one another: a feed that hears nothing, a pause, a call that fails,
-//! another entry's tally, a fetch. So they stand in one place, and `tests/waits.rs`
-//! adds them up against the bounds. A daemon's own calls elsewhere have their own.
+//! They add up: a feed without an answer, a pause, a failed call, another entry's usage
+//! report, a fetch. That is why they are defined together, and `tests/waits.rs` checks
+//! their sums against the bounds. Other calls of a daemon have their own timeouts.
+//!
+//! A feed is a long poll: the store answers when a table changes, or after the wait.
 
 use crate::time::Span;
 
-/// Within this of its acknowledgement a change is known to every entry that reaches
-/// the store, or one that does: a configuration is in force, and an upstream that
-/// leaves gets nothing new.
+/// Bound on the time from a change's acknowledgement until every entry knows it that
+/// reaches the store, or an entry that does. By then a configuration is in force, and
+/// an upstream that leaves gets no new requests.
 pub const PROPAGATION_MAX: Span = Span::from_millis(2_000);
 
-/// The bounds hold again this long after the store, or an entry's way to it, is back.
+/// Time after the store, or an entry's connection to it, has recovered until the
+/// bounds hold again.
 pub const RECOVERY_MAX: Span = Span::from_millis(3_000);
 
-/// A sound store answers within this: 4 ms, the way there and back, and a busy host.
+/// Longest time until an answer of a healthy store: 4 ms, the network round trip, and
+/// delays of a busy host.
 pub const STORE_ANSWER_MAX: Span = Span::from_millis(100);
 
-/// Time for an answer of the store that waits for nothing: it answers in 4 ms, and up
-/// to sixty times as slowly when it is slow.
+/// Timeout of a store call, in addition to a feed's wait. The store answers in 4 ms, and
+/// takes up to sixty times as long when it is slow.
 pub const STORE_CALL_TIMEOUT: Span = Span::from_millis(700);
 
-/// How long a reader's feed of the operator's rows waits. A feed that
-/// begins while the store drops its history may stay deaf: it is answered at its end
-/// only, with all that it missed. The first feed doubles as the sign that the store is
-/// there.
+/// Wait of a reader's feed of the operator's rows. A feed that begins while the store
+/// drops its history may miss changes: it is answered only when the wait ends, with all
+/// that it missed. The answer to the first feed also shows that the store is available.
 pub const OPERATOR_FEED_WAIT: Span = Span::from_millis(2_000);
 
-/// How long a reader's feed of upstreams waits, so that others hear in time that nothing
-/// has changed.
+/// Wait of a reader's feed of upstreams. It is short so that the other entries learn in
+/// time that nothing has changed.
 pub const UPSTREAMS_FEED_WAIT: Span = Span::from_millis(400);
 
-/// How long an entry's feed of entries waits.
+/// Wait of an entry's feed of entries.
 pub const ENTRIES_FEED_WAIT: Span = Span::from_secs(2);
 
-/// How long the feed of the operator's rows waits at an entry that hears of them from
-/// others too.
+/// Wait of the feed of the operator's rows at an entry that also learns of changes from
+/// other entries.
 pub const LISTENER_FEED_WAIT: Span = Span::from_secs(10);
 
-/// How long another entry's reading of the operator's rows counts. A feed whose
-/// connection died is given up then.
+/// Age up to which another entry's read position of the operator's rows is valid. A
+/// feed whose connection has died is abandoned then.
 pub const OPERATOR_AGE_MAX: Span = Span::from_millis(2_500);
 
-/// How long another entry's reading of the upstreams counts.
+/// Age up to which another entry's read position of the upstreams is valid.
 pub const UPSTREAMS_AGE_MAX: Span = Span::from_millis(1_700);
 
-/// How long another entry's reading of the entries counts. Until then an entry that
-/// others do not know yet admits its small part of the limits only.
+/// Age up to which another entry's read position of the entries is valid. Until then an
+/// entry that the others do not know yet admits only its small share of the limits.
 pub const ENTRIES_AGE_MAX: Span = Span::from_secs(5);
 
-/// How long a feed of a daemon beside an engine waits. It learns of new versions from
-/// the entries too.
+/// Wait of a sidecar's feed. A sidecar also learns of new versions from the entries.
 pub const SIDECAR_FEED_WAIT: Span = Span::from_secs(20);
 
-/// Pause between two calls of that feed. There are as many such daemons as engines, so
-/// that changes in quick succession should be one call of each.
+/// Pause between two calls of a sidecar's feed. There are as many sidecars as engines,
+/// so changes in quick succession should cost each of them one call.
 pub const SIDECAR_FEED_PAUSE: Span = Span::from_secs(5);
 
-/// Pause between two calls of the operator's feed. Changes that come in quick
+/// Pause between two calls of the feed of the operator's rows, so that changes in quick
 /// succession arrive together.
 pub const OPERATOR_FEED_PAUSE: Span = Span::from_millis(150);
 
-/// Pause between two calls of the other feeds. Each upstream writes when its load of
-/// adapters changes, and each reader would be answered each time. An engine that leaves
-/// is known sooner, from the daemon beside it.
+/// Pause between two calls of the other feeds. Every upstream writes its row when its
+/// loaded adapters change, and each write would be an answer to every reader. That an
+/// engine leaves is known sooner, from its sidecar.
 pub const OTHER_FEED_PAUSE: Span = Span::from_millis(600);
 
-/// First pause after a failed call.
+/// Pause after the first failed call.
 pub const RETRY_PAUSE_MIN: Span = Span::from_millis(150);
 
-/// Longest pause after failed calls.
+/// Longest pause after repeated failed calls.
 pub const RETRY_PAUSE_MAX: Span = Span::from_millis(800);
 
-/// Time in which the store's own feed brings a configuration that another entry has.
+/// Time allowed for the store's feed to deliver a configuration that another entry
+/// already has, before it is fetched from that entry.
 pub const OWN_FEED_DELAY: Span = Span::from_millis(400);
 
-/// Time for another entry's rows: even 100 KB over the slowest hosts' links of
-/// 10 Mbit/s take a tenth of a second, and several may ask at once.
+/// Timeout of fetching rows from another entry. 100 KB take a tenth of a second over
+/// the slowest hosts' links of 10 Mbit/s, and several entries may fetch at once.
 pub const FETCH_TIMEOUT: Span = Span::from_millis(800);
 
-/// Pause after a fetch before the next one.
+/// Shortest pause between two fetches.
 pub const FETCH_PAUSE_MIN: Span = Span::from_millis(250);
