--- a/kingcupbay_core/src/allowance.rs
+++ b/kingcupbay_core/src/allowance.rs
@@ -275,14 +275,14 @@
     /// Returns false, and applies nothing, if the report is partial and this entry has
     /// no full one since the other's start. Without that it cannot compute what was
     /// spent since.
-    pub fn on_usage_report(&mut self, now: Instant, tally: Tally) -> bool {
+    pub fn on_usage_report(&mut self, now: Instant, report: Tally) -> bool {
         let starting = now.since(self.started) < STARTUP;
-        let before = self.peers.get(&tally.host).cloned().flatten();
-        let same = before.as_ref().is_some_and(|peer| peer.incarnation == tally.incarnation);
-        if !tally.whole && !same {
+        let before = self.peers.get(&report.host).cloned().flatten();
+        let same = before.as_ref().is_some_and(|peer| peer.incarnation == report.incarnation);
+        if !report.whole && !same {
             return false;
         }
-        for (name, used) in &tally.uses {
+        for (name, used) in &report.uses {
             let known = before.as_ref().filter(|_| same).and_then(|peer| peer.uses.get(name));
             let Some(account) = self.accounts.get_mut(name) else { continue };
             match known {
@@ -293,12 +293,12 @@
             }
         }
         let mut uses = match before {
-            Some(peer) if !tally.whole => peer.uses,
+            Some(peer) if !report.whole => peer.uses,
             _ => BTreeMap::new(),
         };
-        uses.extend(tally.uses);
-        let peer = Peer { incarnation: tally.incarnation, received: now, uses };
-        self.peers.insert(tally.host, Some(peer));
+        uses.extend(report.uses);
+        let peer = Peer { incarnation: report.incarnation, received: now, uses };
+        self.peers.insert(report.host, Some(peer));
         true
     }
 
--- a/kingcupbay_core/src/backlog.rs
+++ b/kingcupbay_core/src/backlog.rs
@@ -31,7 +31,8 @@
 const SHEDDING_START: f64 = 0.6;
 
 /// Expected time to answer, as a fraction of the time left until the latency target,
-/// from which the largest fraction is refused. In between, the fraction grows linearly.
+/// from which the largest fraction is refused. Between the two values, the fraction
+/// grows linearly.
 const SHEDDING_FULL: f64 = 1.0;
 
 /// Largest fraction that is refused. Answers to the other requests report the load.
--- a/kingcupbay_core/src/deployment/readers.rs
+++ b/kingcupbay_core/src/deployment/readers.rs
@@ -26,6 +26,6 @@
         order.extend(indexed.map(|(index, member)| (index, member.incarnation, &*member.host)));
     }
     order.sort();
-    let position = order.iter().position(|(_, _, other)| *other == host);
-    position.is_none_or(|position| position < readers)
+    let index = order.iter().position(|(_, _, other)| *other == host);
+    index.is_none_or(|index| index < readers)
 }
