--- a/kingcupbay_core/tests/deployment.rs
+++ b/kingcupbay_core/tests/deployment.rs
@@ -1,4 +1,4 @@
-//! Routes, callers, and what is kept of what the store tells.
+//! Routes, callers, and the state that a daemon keeps of the deployment.
 
 #![allow(clippy::unwrap_used)]
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_key_names_its_organisation_and_no_other_is_let_in() {
+fn a_key_identifies_its_organisation_and_other_keys_are_unknown() {
     let deployment = deployment(1);
     let route = &deployment.routes[0];
     let known = deployment.caller(route, Some(&KeyHash::of("key")));
@@ -77,16 +77,16 @@
 }
 
 #[test]
-fn a_split_sends_each_service_its_part() {
+fn a_traffic_split_follows_the_weights() {
     let route = route("all", "desk.example", "/");
     let new = (0..1_000).filter(|&draw| route.target(draw) == "new").count();
     assert_eq!(new, 100);
 }
 
-/// A read that began before a key was withdrawn is answered after the feed has
-/// told of it. The older configuration must not bring the key back.
+/// A read that began before a key was withdrawn is answered after the feed has reported
+/// the withdrawal. The older configuration must not restore the key.
 #[test]
-fn a_configuration_never_goes_back() {
+fn an_older_configuration_is_not_applied() {
     let mut catalogue = Catalogue::default();
     assert!(catalogue.on_deployment(deployment(7)));
     assert!(!catalogue.on_deployment(deployment(3)));
@@ -113,8 +113,8 @@
     }
 }
 
-/// An engine crashed and came back at its address under a new id. The row of before
-/// outlasted it for some heartbeats, and callers were sent to the id that was no more.
+/// An engine crashes and restarts at its address under a new id. Its old row stays in
+/// the store for some heartbeats. No request may be sent to the old id.
 #[test]
 fn an_upstream_that_was_replaced_at_its_address_gets_nothing() {
     let mut catalogue = Catalogue::default();
@@ -133,11 +133,11 @@
     assert_eq!(serving(&catalogue), ["a", "c"]);
 }
 
-/// The store is away so long that registrations lapse. Those that live write
-/// themselves anew within two seconds of its return; dropping all at once would
+/// An outage of the store lasts so long that registrations expire. Running upstreams
+/// register again within two seconds of its recovery. Dropping all of them at once would
 /// leave callers without any upstream for that time.
 #[test]
-fn upstreams_that_lapsed_in_an_outage_are_kept_for_a_while() {
+fn upstreams_that_expired_in_an_outage_are_kept_for_a_while() {
     let mut catalogue = Catalogue::default();
     let second = |seconds: u64| Instant::from_micros(seconds * 1_000_000);
     catalogue.on_instances(second(1), vec![instance("a"), instance("b")], 1, false);
@@ -149,11 +149,11 @@
     assert_eq!(ids, ["a"]);
 }
 
-/// The way to the store is unsteady: every second a feed fails and the list is read
-/// anew. A desk left meanwhile. Each read took it for lapsed and kept it from then
-/// on, so bookings went to it for as long as the way stayed unsteady.
+/// The connection to the store is unstable: every second a feed fails and the list is
+/// read again. An upstream has left meanwhile. If each read restarted the time for which
+/// it is kept, requests would be sent to it for as long as the connection is unstable.
 #[test]
-fn an_unsteady_way_to_the_store_keeps_no_upstream_for_longer() {
+fn an_unstable_connection_keeps_no_upstream_for_longer() {
     let mut catalogue = Catalogue::default();
     let second = |seconds: u64| Instant::from_micros(seconds * 1_000_000);
     catalogue.on_instances(second(1), vec![instance("a"), instance("b")], 1, false);
@@ -165,11 +165,11 @@
     assert_eq!(ids, ["b"]);
 }
 
-/// A desk left, as the feed told. The store then drops its history, and a list that is
-/// read afterwards is some seconds old: it still shows the desk as ready, and not the
-/// one that came for it. Bookings must go on to the new one.
+/// The feed reports that an upstream has left. The store then drops its history, and a
+/// list that is read afterwards is some seconds old: it still shows that upstream as
+/// ready, and not the one that replaced it. Requests must still go to the new one.
 #[test]
-fn an_older_list_undoes_nothing() {
+fn a_stale_list_reverts_nothing() {
     let mut catalogue = Catalogue::default();
     let row = |id: &str, version| Instance { version, ..instance(id) };
     let now = Instant::from_micros(1);
@@ -180,16 +180,17 @@
     catalogue.on_instances(now, vec![row("a", 1), row("b", 2)], 5, false);
     let ids: Vec<_> = catalogue.serving("desk").map(|row| row.id.as_str()).collect();
     assert_eq!(ids, ["c"]);
-    // It may come back under its name.
+    // An upstream may register again under its old id.
     catalogue.on_instance(now, row("b", 9));
     assert_eq!(catalogue.serving("desk").count(), 2);
 }
 
-/// A desk writes that it is ready, and the answer is lost; it then writes that it leaves.
-/// The store carries the first out after the second, under a newer version: the desk
-/// would count as ready again. One that is started anew under its name counts from one.
+/// An upstream writes that it is ready, and the answer is lost; it then writes that it
+/// leaves. The store applies the first write after the second, under a newer version, so
+/// the upstream would count as ready again. After a restart under the same id, the count
+/// of writes starts from one.
 #[test]
-fn a_row_that_was_written_late_undoes_nothing() {
+fn a_delayed_write_reverts_nothing() {
     let mut catalogue = Catalogue::default();
     let now = Instant::from_micros(1);
     let ready = |version, count| Instance { version, count, ..instance("a") };
@@ -201,34 +202,38 @@
     assert_eq!(catalogue.serving("desk").count(), 1);
 }
 
-/// An entry is cut off from the store while a desk leaves. Another one saw that and
-/// tells of it: at once in three tallies, as one may be lost, and in each whole one,
-/// for who comes back from being cut off from everybody.
+/// An entry is cut off from the store while an upstream leaves. Another entry that saw it
+/// leave reports this at once in three usage reports, as one may be lost. It also does so
+/// in each full report, for entries that were cut off from all others.
 #[test]
-fn who_saw_an_upstream_leave_tells_the_others() {
+fn entries_that_saw_an_upstream_leave_report_it() {
     let (mut saw, mut cut) = (Catalogue::default(), Catalogue::default());
     let at = |millis: u64| Instant::from_micros(millis * 1_000);
     for catalogue in [&mut saw, &mut cut] {
         catalogue.on_instances(at(0), vec![instance("a"), instance("b")], 1, false);
     }
     saw.on_instance_gone(at(100), "a", 2);
-    let told: Vec<_> = (1..=4).map(|n| saw.departures_to_report(at(100 * n), false)).collect();
-    let news = BTreeMap::from([("a".to_owned(), 2)]);
-    assert_eq!(told, [news.clone(), news.clone(), news.clone(), BTreeMap::new()]);
-    assert_eq!(saw.departures_to_report(at(30_000), true), news);
+    let reported: Vec<_> = (1..=4).map(|n| saw.departures_to_report(at(100 * n), false)).collect();
+    let departure = BTreeMap::from([("a".to_owned(), 2)]);
+    assert_eq!(
+        reported,
+        [departure.clone(), departure.clone(), departure.clone(), BTreeMap::new()]
+    );
+    assert_eq!(saw.departures_to_report(at(30_000), true), departure);
 
     assert!(cut.on_departure_report(at(200), "a", 2));
-    assert!(!cut.on_departure_report(at(300), "a", 2), "no news");
+    assert!(!cut.on_departure_report(at(300), "a", 2), "known already");
     assert_eq!(cut.serving("desk").count(), 1);
-    assert_eq!(cut.departures_to_report(at(400), true), BTreeMap::new(), "second-hand");
-    // After the cut its row is missing, which is no lapse.
+    assert_eq!(cut.departures_to_report(at(400), true), BTreeMap::new(), "not from the store");
+    // When the store is available again, the row is missing, but the registration has
+    // not expired: the upstream has left.
     assert_eq!(cut.on_instances(at(900), vec![instance("b")], 3, true), Vec::<String>::new());
     assert_eq!(cut.instances().count(), 1);
     assert_eq!(saw.departures_to_report(at(70_000), true), BTreeMap::new(), "long ago");
 }
 
-/// A list read anew after dropped history, with the store there all the while,
-/// is the truth: what is missing has left.
+/// The store drops its history without an outage, and the list is read again. An upstream
+/// that is not listed has left.
 #[test]
 fn upstreams_missing_from_a_list_without_an_outage_are_gone() {
     let mut catalogue = Catalogue::default();
@@ -237,10 +242,10 @@
     assert_eq!(catalogue.instances().count(), 0);
 }
 
-/// A host is replaced, and the new one gets the old address. The row of the old
-/// one is still in the store; both would be taken for one entry each.
+/// A host is replaced, and the new one gets the old address. The old row is still in the
+/// store, and must not count as a second entry.
 #[test]
-fn a_member_at_the_same_address_takes_the_place_of_the_old_one() {
+fn a_daemon_at_the_same_address_replaces_the_old_one() {
     let member = |host: &str| Member {
         host: host.into(),
         role: Role::Entry,
--- a/kingcupbay_core/tests/placement.rs
+++ b/kingcupbay_core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which engine a generation goes to, and which upstream a plain request.
+//! Choice of the engine for a generation and of the upstream for a plain request.
 
 #![allow(clippy::unwrap_used)]
 
@@ -31,8 +31,8 @@
     Pressure { running, slots: 48, open: true, held: Some(held), ..Pressure::default() }
 }
 
-/// Every entry sends a cold adapter to the same engine, so it is loaded once;
-/// over all adapters the engines have about the same number of homes.
+/// Every entry sends requests for an adapter that is not loaded to the same engine, so
+/// it is loaded once. The homes of all adapters are spread evenly over the engines.
 #[test]
 fn an_adapter_has_one_home_over_all_entries() {
     let engines = engines(18);
@@ -46,8 +46,8 @@
     assert!(homes.values().all(|&count| (100..=240).contains(&count)), "{homes:?}");
 }
 
-/// An engine leaves. Only the adapters that had their home there move; a new
-/// choice for all of them would load everything anew.
+/// An engine leaves. Only the adapters with their home there may move; otherwise all
+/// adapters would have to be loaded again.
 #[test]
 fn homes_stay_when_an_engine_leaves() {
     let all = engines(18);
@@ -62,8 +62,8 @@
     assert_eq!(moved, 0);
 }
 
-/// One adapter is asked for by everybody. Its home fills up, and others take
-/// over before prompts wait for each other there.
+/// All requests are for one adapter, and its home is busy. Other engines must take over
+/// before prompts queue there.
 #[test]
 fn a_busy_home_passes_requests_on() {
     let engines = engines(4);
@@ -76,9 +76,9 @@
     assert_ne!(placement.choose(at(10), &name(1), &engines), Some(home));
 }
 
-/// Three engines hold an adapter that many ask for. The first in the order took
-/// every request until it was busy, and callers waited for each other's prompts
-/// there while the other two had nothing to do. They share its requests now.
+/// Three engines hold a popular adapter. If the first in the order got every request
+/// until it was busy, prompts would queue there while the other two were idle. They must
+/// share the requests.
 #[test]
 fn engines_that_hold_an_adapter_share_its_requests() {
     let engines = engines(6);
@@ -95,7 +95,7 @@
     assert_eq!(sent.into_values().collect::<Vec<_>>(), [4, 4, 4]);
 }
 
-/// A request of the base model, which every engine holds, goes to an idle one.
+/// A request of the base model, which every engine holds, goes to the least busy one.
 #[test]
 fn a_request_without_an_adapter_goes_to_the_least_busy() {
     let engines = engines(4);
@@ -108,11 +108,11 @@
     assert_eq!(placement.choose(at(10), &base, &engines), Some(engines[1]));
 }
 
-/// The only engine that holds a popular adapter is busier than the others. The
-/// next request went to an engine that had to load it first and waited for that;
-/// it goes to the holder now, and the copy is asked for beside it, once.
+/// The only engine that holds a popular adapter is busier than the others. A request
+/// sent to another engine would wait until that has loaded the adapter. It must go to
+/// the holder, while a replica is requested in parallel, once.
 #[test]
-fn a_copy_is_made_beside_the_requests_of_a_busy_holder() {
+fn a_busy_holder_gets_requests_while_a_replica_loads() {
     let engines = engines(4);
     let mut placement = Placement::default();
     let home = placement.choose(at(0), &name(1), &engines).unwrap();
@@ -121,14 +121,14 @@
         placement.on_load_report(at(0), engine, pressure(running, held));
     }
     assert_eq!(placement.choose(at(10), &name(1), &engines), Some(home));
-    let copy = placement.choose_replica(at(10), &name(1), &engines);
-    assert!(copy.is_some_and(|engine| engine != home), "{copy:?}");
+    let replica = placement.choose_replica(at(10), &name(1), &engines);
+    assert!(replica.is_some_and(|engine| engine != home), "{replica:?}");
     assert_eq!(placement.choose_replica(at(20), &name(1), &engines), None);
-    assert_eq!(placement.choose_replica(at(1_100), &name(1), &engines), copy);
+    assert_eq!(placement.choose_replica(at(1_100), &name(1), &engines), replica);
 }
 
-/// A holder whose places are all taken is no use to anybody: the next engine loads
-/// the adapter for the request itself. Nobody asks for copies of what nobody holds.
+/// A holder has no free slots: the request goes to the next engine, which loads the
+/// adapter. No replica is requested of an adapter that no engine holds.
 #[test]
 fn a_full_holder_passes_requests_on() {
     let engines = engines(4);
@@ -142,9 +142,9 @@
     assert_ne!(placement.choose(at(10), &name(1), &engines), Some(home));
 }
 
-/// A calm engine that holds the adapter goes before the home that does not.
+/// An idle engine that holds the adapter is preferred to its home, which does not.
 #[test]
-fn a_holder_goes_before_the_home() {
+fn a_holder_is_preferred_to_the_home() {
     let engines = engines(4);
     let mut placement = Placement::default();
     let home = placement.choose(at(0), &name(1), &engines).unwrap();
@@ -153,8 +153,8 @@
     assert_eq!(placement.choose(at(10), &name(1), &engines), Some(holder));
 }
 
-/// A desk answers half of its requests with failures while it says that it is
-/// well. The others are tried first, until it has not failed for some seconds.
+/// An upstream answers requests with failures although it reports that it is healthy.
+/// The others are tried first until it has not failed for some seconds.
 #[test]
 fn a_failing_upstream_is_tried_last() {
     let mut health = Health::default();
@@ -168,10 +168,10 @@
     assert!((0..50).any(|draw| pick(&health, at(20_000), draw) == "grey"));
 }
 
-/// Many requests fail at once. Sent again without a bound they would double the
-/// load on what still works.
+/// Many requests fail at once. Repeating all of them would double the load on the
+/// upstreams that still work.
 #[test]
-fn repeats_keep_to_their_part_of_the_requests() {
+fn repeats_stay_within_their_budget() {
     let limits = RepeatLimits { ratio: 0.2, slack: 50.0, window: Span::from_secs(10) };
     let mut repeats = RepeatBudget::default();
     let mut sent = 0;
--- a/kingcupbay_core/tests/read_positions.rs
+++ b/kingcupbay_core/tests/read_positions.rs
@@ -1,4 +1,4 @@
-//! Entries that hear from readers what the store's tables hold.
+//! Read positions: listeners that learn changes of the store's tables from readers.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,13 +23,13 @@
 
 /// A reader that knows the upstreams as of `version`.
 fn reader(version: u64) -> ReadPositions {
-    let mut readings = ReadPositions::default();
-    readings.on_list(at(0), UPSTREAMS, version, version);
-    readings
+    let mut positions = ReadPositions::default();
+    positions.on_list(at(0), UPSTREAMS, version, version);
+    positions
 }
 
-fn tell(readings: &mut ReadPositions, now: Instant) -> Reading {
-    readings.report(now).remove(&UPSTREAMS).unwrap()
+fn report(positions: &mut ReadPositions, now: Instant) -> Reading {
+    positions.report(now).remove(&UPSTREAMS).unwrap()
 }
 
 fn versions(changes: &[Changed]) -> Vec<u64> {
@@ -63,134 +63,135 @@
 }
 
 #[test]
-fn a_listener_takes_over_what_a_reader_tells() {
+fn a_listener_applies_what_a_reader_reports() {
     let mut reader = reader(10);
     let mut listener = ReadPositions::default();
     listener.on_list(at(0), UPSTREAMS, 12, 12);
     reader.on_page(at(100), UPSTREAMS, 20, [gone(11), gone(15), gone(19)]);
-    let taken = listener.on_position(at(110), UPSTREAMS, tell(&mut reader, at(105)));
-    assert_eq!(versions(&taken.unwrap()), [15, 19]);
+    let changes = listener.on_position(at(110), UPSTREAMS, report(&mut reader, at(105)));
+    assert_eq!(versions(&changes.unwrap()), [15, 19]);
     assert_eq!(listener.known(UPSTREAMS), 20);
-    let again = listener.on_position(at(450), UPSTREAMS, tell(&mut reader, at(440)));
+    let again = listener.on_position(at(450), UPSTREAMS, report(&mut reader, at(440)));
     assert_eq!(versions(&again.unwrap()), [0; 0]);
 }
 
-/// An upstream's departure was in a tally that got lost: the next one tells it again.
+/// The usage report with an upstream's departure is lost. The next one must repeat it.
 #[test]
-fn one_lost_tally_hides_nothing() {
+fn one_lost_report_hides_no_change() {
     let mut reader = reader(10);
     let mut listener = ReadPositions::default();
     listener.on_list(at(0), UPSTREAMS, 10, 10);
     reader.on_page(at(100), UPSTREAMS, 20, [gone(15)]);
-    drop(tell(&mut reader, at(110)));
-    let taken = listener.on_position(at(450), UPSTREAMS, tell(&mut reader, at(450)));
-    assert_eq!(versions(&taken.unwrap()), [15]);
+    drop(report(&mut reader, at(110)));
+    let changes = listener.on_position(at(450), UPSTREAMS, report(&mut reader, at(450)));
+    assert_eq!(versions(&changes.unwrap()), [15]);
 }
 
-/// Two lost tallies must not pass for nothing having happened: the listener reads by
-/// itself, from the last version that it knows wholly.
+/// Two usage reports with a change are lost. The listener must notice that, and read the
+/// store itself from the last version up to which it knows every change.
 #[test]
-fn a_listener_that_missed_changes_reads_by_itself() {
+fn a_listener_that_missed_changes_reads_the_store() {
     let mut reader = reader(10);
     let mut listener = ReadPositions::default();
     listener.on_list(at(0), UPSTREAMS, 10, 10);
-    assert!(listener.on_position(at(0), UPSTREAMS, tell(&mut reader, at(0))).is_some());
+    assert!(listener.on_position(at(0), UPSTREAMS, report(&mut reader, at(0))).is_some());
     reader.on_page(at(100), UPSTREAMS, 20, [gone(15)]);
     for now in [110, 450] {
-        drop(tell(&mut reader, at(now)));
+        drop(report(&mut reader, at(now)));
     }
     for now in (800..3_000).step_by(300) {
         reader.on_page(at(now), UPSTREAMS, now, []);
-        assert!(listener.on_position(at(now), UPSTREAMS, tell(&mut reader, at(now))).is_none());
+        assert!(listener.on_position(at(now), UPSTREAMS, report(&mut reader, at(now))).is_none());
     }
     assert_eq!(listener.known(UPSTREAMS), 10);
     let over = at(UPSTREAMS.max_age().as_millis());
     assert_eq!(listener.remaining(over, UPSTREAMS), None);
 }
 
-/// All engines register at once after a restart, more than a tally holds: what it leaves
-/// out must not pass for known, nor wait until the last reading is old.
+/// All engines register at once after a restart, more than one usage report can carry.
+/// The changes left out must not count as known, and must be read before the last read
+/// position expires.
 #[test]
 fn changes_that_do_not_fit_are_read_at_once() {
     let mut reader = reader(10);
     let mut listener = ReadPositions::default();
     listener.on_list(at(0), UPSTREAMS, 10, 10);
-    assert!(listener.on_position(at(10), UPSTREAMS, tell(&mut reader, at(10))).is_some());
+    assert!(listener.on_position(at(10), UPSTREAMS, report(&mut reader, at(10))).is_some());
     assert!(listener.remaining(at(10), UPSTREAMS).is_some());
     reader.on_page(at(100), UPSTREAMS, 99, (11..90).map(gone));
-    let reading = tell(&mut reader, at(110));
+    let reading = report(&mut reader, at(110));
     assert!(reading.changes.len() < 79);
     assert!(listener.on_position(at(110), UPSTREAMS, reading).is_none());
     assert_eq!(listener.known(UPSTREAMS), 10);
     assert_eq!(listener.remaining(at(110), UPSTREAMS), None);
 }
 
-/// A reader is frozen, killed or cut off from the store: what it read last grows old,
-/// and must not keep others from reading.
+/// A reader is frozen, killed or cut off from the store. Its last read position must
+/// expire, so that the others read the store.
 #[test]
-fn an_old_reading_counts_for_nothing() {
+fn an_expired_read_position_is_ignored() {
     let mut reader = reader(10);
     let mut listener = ReadPositions::default();
     listener.on_list(at(0), UPSTREAMS, 10, 10);
     let limit = UPSTREAMS.max_age().as_millis();
-    let reading = tell(&mut reader, at(limit - 200));
+    let reading = report(&mut reader, at(limit - 200));
     assert!(listener.on_position(at(limit - 200), UPSTREAMS, reading).is_some());
     assert!(listener.remaining(at(limit - 200), UPSTREAMS).is_some());
     assert_eq!(listener.remaining(at(limit), UPSTREAMS), None);
     assert!(reader.report(at(limit + 1)).is_empty());
 }
 
-/// A read of the store lags behind what another reader told: passed on as new, it kept
-/// listeners from reading.
+/// A read of the store lags behind what another reader has reported. If it were reported
+/// as new, it would keep listeners from reading the store.
 #[test]
-fn a_read_that_lags_is_not_told() {
+fn a_stale_read_is_not_reported() {
     let mut reader = reader(10);
     let newer = Reading { version: 30, age: Span::ZERO, since: 10, changes: Vec::new() };
     assert!(reader.on_position(at(100), UPSTREAMS, newer).is_some());
     reader.on_page(at(200), UPSTREAMS, 20, []);
-    let told = tell(&mut reader, at(300));
-    assert_eq!((told.version, told.age), (10, Span::from_millis(300)));
+    let reading = report(&mut reader, at(300));
+    assert_eq!((reading.version, reading.age), (10, Span::from_millis(300)));
     assert_eq!(reader.known(UPSTREAMS), 30);
 }
 
-/// What a reader was told by another one is not in its own tally, which must not claim
-/// that nothing happened before it.
+/// A reader's own usage reports do not carry changes that it learned from another reader.
+/// They must not claim that nothing changed at those versions.
 #[test]
-fn a_reader_claims_nothing_that_another_one_told() {
+fn a_reader_does_not_claim_another_readers_changes() {
     let (mut first, mut second, mut listener) = (reader(10), reader(10), reader(10));
     first.on_page(at(100), UPSTREAMS, 20, [gone(15)]);
-    let told = second.on_position(at(110), UPSTREAMS, tell(&mut first, at(110)));
-    assert_eq!(versions(&told.unwrap()), [15]);
+    let changes = second.on_position(at(110), UPSTREAMS, report(&mut first, at(110)));
+    assert_eq!(versions(&changes.unwrap()), [15]);
     second.on_page(at(200), UPSTREAMS, 30, [gone(25)]);
-    let reading = tell(&mut second, at(210));
+    let reading = report(&mut second, at(210));
     assert!(listener.on_position(at(210), UPSTREAMS, reading.clone()).is_none());
-    let repeated = tell(&mut first, at(450));
+    let repeated = report(&mut first, at(450));
     assert_eq!(versions(&listener.on_position(at(450), UPSTREAMS, repeated).unwrap()), [15]);
     assert_eq!(versions(&listener.on_position(at(460), UPSTREAMS, reading).unwrap()), [25]);
 }
 
-/// A newer configuration is too long for a tally: a listener that hears of it reads at
-/// once, and does not wait until the reading is old.
+/// A newer configuration is too large for a usage report. A listener that learns of it
+/// must read the store at once, before the read position expires.
 #[test]
 fn a_newer_configuration_is_read_at_once() {
     let mut reader = ReadPositions::default();
     let mut listener = ReadPositions::default();
-    for readings in [&mut reader, &mut listener] {
-        readings.on_list(at(0), Table::Operator, 10, 5);
+    for positions in [&mut reader, &mut listener] {
+        positions.on_list(at(0), Table::Operator, 10, 5);
     }
-    let mut told = reader.report(at(10));
+    let mut reported = reader.report(at(10));
     assert!(
         listener
-            .on_position(at(10), Table::Operator, told.remove(&Table::Operator).unwrap())
+            .on_position(at(10), Table::Operator, reported.remove(&Table::Operator).unwrap())
             .is_some()
     );
     assert!(listener.remaining(at(10), Table::Operator).is_some());
     reader.on_page(at(20), Table::Operator, 20, []);
     reader.on_unreported(Table::Operator, 19);
-    let mut told = reader.report(at(30));
+    let mut reported = reader.report(at(30));
     assert!(
         listener
-            .on_position(at(30), Table::Operator, told.remove(&Table::Operator).unwrap())
+            .on_position(at(30), Table::Operator, reported.remove(&Table::Operator).unwrap())
             .is_none()
     );
     assert_eq!(listener.remaining(at(30), Table::Operator), None);
@@ -198,10 +199,11 @@
     assert!(listener.remaining(at(40), Table::Operator).is_some());
 }
 
-/// Readers and listeners in any order of reads, tallies, losses and restarts: no listener
-/// ever passes over a change. Each step picks an entry and what it does by a fixed generator.
+/// Readers and listeners with reads, usage reports, losses and restarts in any order: no
+/// listener may ever skip a change. A generator with a fixed seed picks an entry and its
+/// action for each step.
 #[test]
-fn nothing_is_passed_over_in_any_order() {
+fn no_change_is_skipped_in_any_order() {
     for seed in 0..400 {
         let mut draw = draws(seed);
         let mut store: Vec<u64> = Vec::new();
@@ -221,10 +223,10 @@
             match draw(9) {
                 0..=2 => read(now, &mut entries[who], &store, newest),
                 3..=5 => {
-                    let told = entries[who].0.report(now);
+                    let reported = entries[who].0.report(now);
                     for other in (0..4).filter(|&other| other != who) {
                         if draw(3) > 0 {
-                            hear(now, &mut entries[other], &told);
+                            receive(now, &mut entries[other], &reported);
                         }
                     }
                 }
@@ -234,10 +236,10 @@
                 }
                 _ => {}
             }
-            for (readings, taken) in &entries {
-                let known = readings.known(UPSTREAMS);
+            for (positions, applied) in &entries {
+                let known = positions.known(UPSTREAMS);
                 let due: Vec<u64> = store.iter().copied().filter(|&seen| seen <= known).collect();
-                assert_eq!(*taken, due, "seed {seed}, step {step}");
+                assert_eq!(*applied, due, "seed {seed}, step {step}");
             }
         }
     }
@@ -251,15 +253,19 @@
     entry.0.on_page(now, UPSTREAMS, newest, changes);
 }
 
-fn hear(now: Instant, entry: &mut (ReadPositions, Vec<u64>), told: &BTreeMap<Table, Reading>) {
-    for (&table, reading) in told {
+fn receive(
+    now: Instant,
+    entry: &mut (ReadPositions, Vec<u64>),
+    reported: &BTreeMap<Table, Reading>,
+) {
+    for (&table, reading) in reported {
         if let Some(changes) = entry.0.on_position(now, table, reading.clone()) {
             entry.1.extend(versions(&changes));
         }
     }
 }
 
-/// Numbers below a bound, always the same for a seed.
+/// Returns a generator of numbers below a bound, which depend only on the seed.
 fn draws(seed: u64) -> impl FnMut(u64) -> u64 {
     let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     move |bound| {
@@ -271,8 +277,8 @@
 }
 
 #[test]
-fn a_reading_is_as_old_as_it_says() {
+fn a_read_position_states_its_age() {
     let mut reader = reader(10);
-    let reading = tell(&mut reader, at(300));
+    let reading = report(&mut reader, at(300));
     assert_eq!(reading.age, Span::from_millis(300));
 }
--- a/kingcupbay_core/tests/waits.rs
+++ b/kingcupbay_core/tests/waits.rs
@@ -1,4 +1,4 @@
-//! The waits on the way of a change add up to no more than the bounds.
+//! The timeouts and pauses until a change is known add up to no more than the bounds.
 
 use kingcupbay_core::{
     allowance::Allowance,
@@ -11,14 +11,14 @@
     time::{Instant, Span},
 };
 
-/// Entries of the largest deployment that keeps the shortest bound.
+/// Number of entries in the largest deployment that meets the shortest bound.
 const ENTRIES: usize = 27;
 
-/// Another entry's rows mostly come within this.
-const FETCHED: Span = Span::from_millis(150);
+/// Usual time of a fetch from another entry.
+const FETCH_USUAL: Span = Span::from_millis(150);
 
-/// Time between two tallies of `entries` entries.
-fn tally(entries: usize) -> Span {
+/// Returns the time between two usage reports in a fleet of `entries` entries.
+fn report_period(entries: usize) -> Span {
     let mut allowance = Allowance::new("entry-0", 1, Instant::default());
     let hosts: Vec<String> = (0..entries).map(|n| format!("entry-{n}")).collect();
     allowance.on_entries(hosts.iter().map(String::as_str));
@@ -29,12 +29,12 @@
     Span::from_micros(waits.iter().map(|wait| wait.as_micros()).sum())
 }
 
-/// Callers were refused by an older configuration, or sent to an upstream that was
-/// leaving, past the bound. No single wait was longer than it; they followed one another,
-/// and stood in different files, so that none of them looked wrong.
+/// Callers would be refused under an older configuration, or sent to an upstream that is
+/// leaving, for longer than the bound. No single wait needs to exceed the bound for this,
+/// as the waits follow one another.
 #[test]
 fn a_change_is_known_in_time() {
-    let ways = [
+    let paths = [
         ("a configuration, by the feed", vec![OPERATOR_FEED_PAUSE, STORE_ANSWER_MAX]),
         ("an upstream that leaves, by the feed", vec![OTHER_FEED_PAUSE, STORE_ANSWER_MAX]),
         (
@@ -42,48 +42,56 @@
             vec![
                 OPERATOR_FEED_PAUSE,
                 STORE_ANSWER_MAX,
-                tally(ENTRIES),
+                report_period(ENTRIES),
                 OWN_FEED_DELAY,
                 FETCH_TIMEOUT,
                 FETCH_PAUSE_MIN,
-                FETCHED,
+                FETCH_USUAL,
             ],
         ),
         (
-            "an upstream that leaves, by the second tally, as the first was lost",
-            vec![OTHER_FEED_PAUSE, STORE_ANSWER_MAX, tally(ENTRIES), tally(ENTRIES)],
+            "an upstream that leaves, by the second usage report, as the first was lost",
+            vec![
+                OTHER_FEED_PAUSE,
+                STORE_ANSWER_MAX,
+                report_period(ENTRIES),
+                report_period(ENTRIES),
+            ],
         ),
     ];
-    for (way, waits) in ways {
-        assert!(sum(&waits) <= PROPAGATION_MAX, "{way}: {:?}", sum(&waits));
+    for (path, waits) in paths {
+        assert!(sum(&waits) <= PROPAGATION_MAX, "{path}: {:?}", sum(&waits));
     }
 }
 
-/// The store, or the way to it, is back, but a feed's connection died with it: the feed
-/// is given up, and the table read anew, before the bounds hold again.
+/// The store, or the connection to it, has recovered, but a feed's connection died in the
+/// outage. The feed must be abandoned, and the table read again, before the bounds hold
+/// again.
 #[test]
-fn a_dead_feed_is_over_before_the_bounds_hold_again() {
+fn a_dead_feed_ends_before_the_bounds_hold_again() {
     let dead = sum(&[OPERATOR_FEED_WAIT, STORE_CALL_TIMEOUT, RETRY_PAUSE_MIN, STORE_ANSWER_MAX]);
     assert!(dead <= RECOVERY_MAX, "{dead:?}");
 }
 
-/// A listener hears from readers what the store would have told it. Whatever becomes of
-/// them and of their tallies, it knows of an upstream that leaves in time, however many
-/// entries there are.
+/// A listener learns changes from readers instead of the store. Even if all of them or
+/// their usage reports fail, it must learn in time that an upstream leaves, with any
+/// number of entries.
 #[test]
 fn a_listener_knows_in_time_without_readers() {
-    // As of the reader's answer, which comes one answer's time after the store's.
+    // The age counts from the reader's answer, which arrives one answer's time after the
+    // store sent it.
     let waits = [UPSTREAMS_AGE_MAX, STORE_ANSWER_MAX, STORE_ANSWER_MAX];
     assert!(sum(&waits) <= PROPAGATION_MAX, "{:?}", sum(&waits));
     let dead = sum(&[OPERATOR_AGE_MAX, RETRY_PAUSE_MIN, STORE_ANSWER_MAX]);
     assert!(dead <= RECOVERY_MAX, "{dead:?}");
 }
 
-/// Readers that do their work keep the others from reading: from one of their answers to
-/// the next, a tally and its way, another reading still counts. With 340 entries tallies
-/// come each second, and readings of upstreams do not last until the next one.
+/// Working readers keep the other entries from reading the store: a read position must
+/// stay valid until the reader's next answer, and the usage report with it, has arrived.
+/// With 340 entries, usage reports come once a second, and read positions of the upstreams
+/// expire before the next one.
 #[test]
-fn readers_that_work_are_enough() {
+fn working_readers_are_enough() {
     let gaps = [
         (UPSTREAMS_AGE_MAX, [OTHER_FEED_PAUSE, UPSTREAMS_FEED_WAIT]),
         (ENTRIES_AGE_MAX, [OTHER_FEED_PAUSE, ENTRIES_FEED_WAIT]),
@@ -91,7 +99,7 @@
     ];
     for (listen, gap) in gaps {
         for entries in [4, 27, 68] {
-            let whole = sum(&[sum(&gap), tally(entries)]);
+            let whole = sum(&[sum(&gap), report_period(entries)]);
             assert!(whole <= listen, "{entries} entries: {whole:?} of {listen:?}");
         }
     }
