--- a/kingcupbay_core/src/allowance.rs
+++ b/kingcupbay_core/src/allowance.rs
@@ -6,7 +6,7 @@
 //! any request.
 //!
 //! When the bucket holds less than the others may spend before their next reports
-//! arrive ([`REPORT_LAG_PERIODS`]), several entries could spend the same tokens. Each
+//! arrive (`REPORT_LAG_PERIODS`), several entries could spend the same tokens. Each
 //! entry then limits itself to its share of the rate, in proportion to its demand. An
 //! entry that receives no reports from another one freezes its share, and so does the
 //! other one, so that the shares do not add up to more than the whole.
@@ -237,8 +237,8 @@
         account.spent -= cost as i64;
     }
 
-    /// Builds the next usage report for the other entries. It is full if
-    /// [`REPORTS_PER_FULL`] says so, and else names what has changed.
+    /// Builds the next usage report for the other entries. One in `REPORTS_PER_FULL` is
+    /// full, and the others name only what has changed.
     pub fn usage_report(&mut self, now: Instant, number: Number) -> Tally {
         let peer_silent = self.check_peers(now);
         let full = self.until_full == 0;
--- a/kingcupbay_core/src/deployment/catalogue.rs
+++ b/kingcupbay_core/src/deployment/catalogue.rs
@@ -240,7 +240,7 @@
     /// Applies the complete list of registrations as of `version`.
     ///
     /// After an outage of the store, upstreams that are not listed are kept for
-    /// [`MISSING_MAX`]. Returns the ids of the upstreams that are missing.
+    /// `MISSING_MAX`. Returns the ids of the upstreams that are missing.
     pub fn on_instances(
         &mut self,
         now: Instant,
--- a/kingcupbay_core/src/deployment/catchup.rs
+++ b/kingcupbay_core/src/deployment/catchup.rs
@@ -59,9 +59,9 @@
         self.newest = self.newest.max(theirs);
     }
 
-    /// Returns whether to fetch the configuration now from an entry that acts on
-    /// `theirs`, while this one acts on `own`. If so, the caller must call
-    /// [`CatchUp::on_fetch_end`] afterwards.
+    /// Records that another entry acts on `theirs` while this one acts on `own`, and
+    /// returns whether to fetch the configuration from it now. If so, the fetch counts as
+    /// running until the caller calls [`CatchUp::on_fetch_end`].
     pub fn begin_fetch(&mut self, now: Instant, own: Number, theirs: Number) -> bool {
         self.on_number(theirs);
         if own >= self.newest || own > self.own {
--- a/kingcupbay_core/src/deployment/departures.rs
+++ b/kingcupbay_core/src/deployment/departures.rs
@@ -9,8 +9,8 @@
 
 use crate::time::{Instant, Span};
 
-/// How long a departure is reported. It must outlast the time for which an entry may be
-/// cut off from all others.
+/// How long a departure is reported, so that an entry that was cut off from all others
+/// learns of it once it is connected again.
 const REPORTED_FOR: Span = Span::from_secs(60);
 
 /// Number of consecutive usage reports that name a new departure. One or two of them
--- a/kingcupbay_core/src/placement.rs
+++ b/kingcupbay_core/src/placement.rs
@@ -126,7 +126,7 @@
     }
 
     /// Returns the engine that should load a replica of `name`, if all its holders are
-    /// busy. After that, returns none for the adapter for [`REPLICA_PAUSE`].
+    /// busy. After that, returns none for the adapter for `REPLICA_PAUSE`.
     pub fn choose_replica(
         &mut self,
         now: Instant,
--- a/kingcupbay_core/tests/catchup.rs
+++ b/kingcupbay_core/tests/catchup.rs
@@ -40,7 +40,8 @@
     assert!((3..=6).contains(&failed), "{failed}");
 }
 
-/// The store's feed delivers a change shortly after; fetching it too would be wasted.
+/// The store's feed delivers a change shortly after another entry has reported it. No
+/// fetch may begin in between.
 #[test]
 fn what_the_feed_delivers_is_not_fetched() {
     let mut catch_up = CatchUp::default();
--- a/kingcupbay_core/tests/placement.rs
+++ b/kingcupbay_core/tests/placement.rs
@@ -153,7 +153,7 @@
     assert_eq!(placement.choose(at(10), &name(1), &engines), Some(holder));
 }
 
-/// An upstream answers requests with failures although it reports that it is healthy.
+/// An upstream answers half of its requests with failures but reports that it is healthy.
 /// The others are tried first until it has not failed for some seconds.
 #[test]
 fn a_failing_upstream_is_tried_last() {
