--- a/kingcupbay_core/src/admission/estimate.rs
+++ b/kingcupbay_core/src/admission/estimate.rs
@@ -6,7 +6,7 @@
     wire::sidecar::{Refusal, Want},
 };
 
-use super::{Admission, pauses::Limit};
+use super::{Admission, prefill::PrefillLimit};
 
 /// Longest pause between two events where routes name none: as long as the
 /// users' routes that do.
@@ -53,8 +53,8 @@
     }
 
     /// How fast prompts may be let through.
-    pub(super) fn limit(&self) -> Limit {
-        Limit::new(&self.pace, self.gap(), self.learned.part())
+    pub(super) fn limit(&self) -> PrefillLimit {
+        PrefillLimit::new(&self.pace, self.gap(), self.learned.part())
     }
 
     /// Time until the last of `tokens` is let through.
--- a/kingcupbay_core/src/admission/told.rs
+++ b/kingcupbay_core/src/admission/load_report.rs
@@ -23,14 +23,14 @@
 
 /// What an entry was told.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct LoadReporter {
     last: Option<Pressure>,
     at: Instant,
     /// It has taken the adapters of `last`.
     taken: bool,
 }
 
-impl Told {
+impl LoadReporter {
     /// What to tell it now, if anything; adapters only if it lacks them.
     pub fn next(&mut self, now: Instant, pressure: &Pressure) -> Option<Pressure> {
         let same_held = self.last.as_ref().is_some_and(|last| last.held == pressure.held);
--- a/kingcupbay_core/src/admission/loads.rs
+++ b/kingcupbay_core/src/admission/loads.rs
@@ -19,7 +19,7 @@
 /// Time of a load from the weight store at full speed, in milliseconds.
 const LOAD: f64 = 250.0;
 
-/// Loads shorter than this came from the engine's own memory, in milliseconds.
+/// LoadLimiter shorter than this came from the engine's own memory, in milliseconds.
 /// They take a tenth of a load from the store and do not slow others down.
 const OWN: f64 = 120.0;
 
@@ -57,7 +57,7 @@
 /// pauses between two. The store then brings as many, each in less time, so
 /// that those who ask last still get a first event in time.
 #[derive(Debug)]
-pub struct Loads {
+pub struct LoadLimiter {
     /// Most loads on their way. Invariant: 1 to [`TRANSIT`].
     most: u32,
     /// Milliseconds between the end of a load and the next one.
@@ -66,15 +66,15 @@
     /// Milliseconds that a load from the store takes, as of `at`.
     time: f64,
     at: Instant,
-    /// Loads on their way and since when.
+    /// LoadLimiter on their way and since when.
     begun: BTreeMap<AdapterName, Instant>,
     /// Adapters that the engine has held since it started; it has kept copies.
     had: BTreeSet<AdapterName>,
 }
 
-impl Default for Loads {
-    fn default() -> Loads {
-        Loads {
+impl Default for LoadLimiter {
+    fn default() -> LoadLimiter {
+        LoadLimiter {
             most: FIRST_MOST,
             pause: 0.0,
             free_at: Instant::default(),
@@ -86,7 +86,7 @@
     }
 }
 
-impl Loads {
+impl LoadLimiter {
     /// The engine has restarted and kept nothing.
     pub fn on_restart(&mut self) {
         self.begun.clear();
--- a/kingcupbay_core/src/admission/mod.rs
+++ b/kingcupbay_core/src/admission/mod.rs
@@ -5,25 +5,25 @@
 //! agreement between hosts. [`estimate`] says who is taken in and how long that
 //! one will wait; [`queue`] keeps what waits and [`running`] what was let through;
 //! [`orders`] decides what the engine loads. [`order`] and [`report`] are what the
-//! engine is told and tells, [`told`] what entries are; [`pace`], [`pauses`] and
+//! engine is told and tells, [`load_report`] what entries are; [`speed`], [`prefill`] and
 //! [`loads`] learn how fast it is.
 //!
 //! An engine reads prompts between the tokens of running requests. What is
-//! sent to it beyond what it reads within a pause of their streams ([`pauses`])
+//! sent to it beyond what it reads within a pause of their streams ([`prefill`])
 //! makes those streams late, and can be neither overtaken by something more
 //! urgent nor refused any more. So it waits here: the most urgent first, those
 //! that would be late anyway behind those that can still be on time.
 
 mod estimate;
+pub mod load_report;
 pub mod loads;
 pub mod order;
 mod orders;
-pub mod pace;
-pub mod pauses;
+pub mod prefill;
 pub mod queue;
 pub mod report;
 mod running;
-pub mod told;
+pub mod speed;
 
 use std::collections::BTreeMap;
 
@@ -34,13 +34,13 @@
 };
 
 use self::{
-    loads::Loads,
+    loads::LoadLimiter,
     order::{Order, Reply},
-    pace::Pace,
-    pauses::{Learned, Recent},
+    prefill::{PrefillScale, RecentGrants},
     queue::{Queue, Waiter},
     report::Report,
     running::Running,
+    speed::Speed,
 };
 
 /// When to come back to an engine without its base model: it is loaded from the
@@ -83,10 +83,10 @@
     counted: u64,
     queue: Queue,
     running: Running,
-    recent: Recent,
-    learned: Learned,
-    pace: Pace,
-    loads: Loads,
+    recent: RecentGrants,
+    learned: PrefillScale,
+    pace: Speed,
+    loads: LoadLimiter,
     orders: orders::Orders,
 }
 
@@ -103,10 +103,10 @@
             counted: 0,
             queue: Queue::default(),
             running: Running::default(),
-            recent: Recent::default(),
-            learned: Learned::default(),
-            pace: Pace::default(),
-            loads: Loads::default(),
+            recent: RecentGrants::default(),
+            learned: PrefillScale::default(),
+            pace: Speed::default(),
+            loads: LoadLimiter::default(),
             orders: orders::Orders::default(),
         }
     }
@@ -128,7 +128,7 @@
     }
 
     /// Takes a request in.
-    pub fn on_want(&mut self, now: Instant, ticket: Ticket, want: Want) -> Vec<Action> {
+    pub fn on_permit_request(&mut self, now: Instant, ticket: Ticket, want: Want) -> Vec<Action> {
         if let Some(newest) = want.newest {
             self.on_version(want.name.clone(), newest);
         }
@@ -149,9 +149,9 @@
         self.pump(now)
     }
 
-    /// Loads an adapter whose other engines are busy.
-    pub fn on_copy(&mut self, now: Instant, name: AdapterName) -> Vec<Action> {
-        self.orders.on_copy(now, name);
+    /// LoadLimiter an adapter whose other engines are busy.
+    pub fn on_replica_request(&mut self, now: Instant, name: AdapterName) -> Vec<Action> {
+        self.orders.on_replica_request(now, name);
         self.pump(now)
     }
 
@@ -162,14 +162,14 @@
     }
 
     /// A request's stream has come whole, with `pause` as its longest.
-    pub fn on_stream(&mut self, attempt: &str, pause: Span) {
+    pub fn on_stream_complete(&mut self, attempt: &str, pause: Span) {
         if let Some(gap) = self.running.held_gap(attempt) {
-            self.learned.on_stream(pause, gap.unwrap_or(estimate::GAP));
+            self.learned.on_stream_complete(pause, gap.unwrap_or(estimate::GAP));
         }
     }
 
     /// A request has ended, or its place will not be used.
-    pub fn on_done(&mut self, now: Instant, attempt: &str) -> Vec<Action> {
+    pub fn on_request_end(&mut self, now: Instant, attempt: &str) -> Vec<Action> {
         if let Some(name) = self.running.on_end(attempt) {
             self.orders.on_use(now, &name);
             self.pace.on_end(now, self.running.len());
@@ -200,7 +200,7 @@
     }
 
     /// The engine did not answer when asked for a report.
-    pub fn on_silence(&mut self, now: Instant) -> Vec<Action> {
+    pub fn on_report_failure(&mut self, now: Instant) -> Vec<Action> {
         self.report = None;
         self.pump(now)
     }
@@ -218,7 +218,7 @@
     }
 
     /// Time until the next report is of use.
-    pub fn next_report(&self) -> Span {
+    pub fn report_interval(&self) -> Span {
         /// An order was answered: what it did decides about the next.
         const AFTER_ORDER: Span = Span::from_micros(500);
         /// Somebody waits for a load, which takes 25 ms at best.
@@ -244,7 +244,7 @@
     }
 
     /// What entries are told.
-    pub fn pressure(&self) -> Pressure {
+    pub fn load_report(&self) -> Pressure {
         Pressure {
             engine: None,
             running: self.running.len() as u32,
@@ -252,7 +252,9 @@
             slots: self.spec.slots,
             delay: self.reading(self.running.unread() + self.queue.tokens()),
             open: self.report.as_ref().is_some_and(|report| !report.leaving),
-            held: Some(self.report.as_ref().map_or_else(Vec::new, |report| report.held.clone())),
+            held: Some(
+                self.report.as_ref().map_or_else(Vec::new, |report| report.resident.clone()),
+            ),
         }
     }
 
--- a/kingcupbay_core/src/admission/orders.rs
+++ b/kingcupbay_core/src/admission/orders.rs
@@ -16,7 +16,7 @@
 };
 
 use super::{
-    loads::Loads,
+    loads::LoadLimiter,
     order::{Reply, Target},
     report::Report,
 };
@@ -48,7 +48,7 @@
     pub(super) used: &'a [&'a AdapterName],
     /// Adapters that requests wait for, in the order of their turns.
     pub(super) wanted: &'a [AdapterName],
-    pub(super) loads: &'a Loads,
+    pub(super) loads: &'a LoadLimiter,
 }
 
 /// The order in flight.
@@ -87,7 +87,7 @@
     copies: BTreeMap<AdapterName, Instant>,
     /// Older versions of these were unloaded; the newer ones are due.
     renewed: BTreeSet<AdapterName>,
-    /// Loads without an answer since the engine started.
+    /// LoadLimiter without an answer since the engine started.
     unanswered: Vec<Unanswered>,
     /// Those from before it did.
     stray: Vec<Unanswered>,
@@ -114,7 +114,7 @@
 
     /// An entry asks for a copy. It counts as used, or it would be the first to
     /// make room again.
-    pub(super) fn on_copy(&mut self, now: Instant, name: AdapterName) {
+    pub(super) fn on_replica_request(&mut self, now: Instant, name: AdapterName) {
         self.uses.insert(name.clone(), now);
         self.copies.insert(name, now);
     }
@@ -193,7 +193,7 @@
 
     /// A restarted engine comes back without its base model.
     fn base(&self, view: &View<'_>) -> Option<(AdapterName, Target)> {
-        if !view.report.held.is_empty() {
+        if !view.report.resident.is_empty() {
             return None;
         }
         let fits = |mb: f64| view.spec.weights_mb <= 0.0 || mb <= view.spec.weights_mb;
--- a/kingcupbay_core/src/admission/pauses.rs
+++ b/kingcupbay_core/src/admission/prefill.rs
@@ -9,7 +9,7 @@
 //! first event, of which its aim leaves room.
 //!
 //! How large the pieces are is not known, so what is worked out for large ones
-//! is only where it begins ([`Learned`]): streams tell how long they really stood
+//! is only where it begins ([`PrefillScale`]): streams tell how long they really stood
 //! still. An engine with small pieces may read without a break.
 //!
 //! Load that this answers: 8 requests a second with 1,175 tokens of prompt on
@@ -20,7 +20,7 @@
 
 use crate::time::{Instant, Span};
 
-use super::pace::Pace;
+use super::speed::Speed;
 
 /// Most tokens of prompts that an engine is taken to read between two tokens of a
 /// stream: the usual default of engines.
@@ -74,7 +74,7 @@
 
 /// How much of what was worked out goes, learned from the pauses of streams.
 #[derive(Debug)]
-pub(super) struct Learned {
+pub(super) struct PrefillScale {
     part: f64,
     /// Not to be passed, as streams stood still a little above. Invariant: not
     /// below `part`.
@@ -88,16 +88,16 @@
     longest: f64,
 }
 
-impl Default for Learned {
-    fn default() -> Learned {
-        Learned { part: 1.0, ceiling: BOUNDS.1, streams: 0, still: 0, longest: 0.0 }
+impl Default for PrefillScale {
+    fn default() -> PrefillScale {
+        PrefillScale { part: 1.0, ceiling: BOUNDS.1, streams: 0, still: 0, longest: 0.0 }
     }
 }
 
-impl Learned {
+impl PrefillScale {
     /// A stream has ended that ran while prompts were held back; its longest
     /// pause was `pause`, where `gap` is the longest that is to be kept.
-    pub(super) fn on_stream(&mut self, pause: Span, gap: Span) {
+    pub(super) fn on_stream_complete(&mut self, pause: Span, gap: Span) {
         let taken = pause.as_millis_f64() / gap.as_millis_f64().max(1.0);
         self.streams += 1;
         self.still += u32::from(taken > 1.0);
@@ -126,56 +126,56 @@
 
 /// How fast prompts may be let through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Limit {
+pub enum PrefillLimit {
     /// So many tokens within each pause.
-    Paced(u64),
+    PerGap(u64),
     /// While so many are unread.
     Window(u64),
 }
 
-impl Limit {
+impl PrefillLimit {
     /// The limit of an engine of that pace, if its streams' events may be `gap`
     /// apart and `part` was learned.
-    pub fn new(pace: &Pace, gap: Span, part: f64) -> Limit {
+    pub fn new(pace: &Speed, gap: Span, part: f64) -> PrefillLimit {
         let steps = pace.stride();
         let piece = pace.time(PIECE).as_micros();
         let longest = pace.event() + Span::from_micros((steps * piece as f64) as u64);
         if longest <= gap {
-            return Limit::Window(pace.tokens_in(WINDOW));
+            return PrefillLimit::Window(pace.tokens_in(WINDOW));
         }
         let free = gap.saturating_sub(pace.event());
         let worked_out = pace.tokens_in(free) * PART / 100;
         let budget = (worked_out as f64 * part) as u64;
         match budget >= pace.tokens_in(gap) {
-            true => Limit::Window(pace.tokens_in(WINDOW)),
-            false => Limit::Paced(budget),
+            true => PrefillLimit::Window(pace.tokens_in(WINDOW)),
+            false => PrefillLimit::PerGap(budget),
         }
     }
 
     /// Tokens that go at once.
     pub(super) fn at_once(self) -> u64 {
-        let (Limit::Paced(tokens) | Limit::Window(tokens)) = self;
+        let (PrefillLimit::PerGap(tokens) | PrefillLimit::Window(tokens)) = self;
         tokens
     }
 
     /// Time until the last of `tokens` is let through.
-    pub(super) fn time(self, pace: &Pace, gap: Span, tokens: u64) -> Span {
+    pub(super) fn time(self, pace: &Speed, gap: Span, tokens: u64) -> Span {
         match self {
-            Limit::Paced(budget) => {
+            PrefillLimit::PerGap(budget) => {
                 Span::from_micros(tokens.saturating_mul(gap.as_micros()) / budget.max(1))
             }
-            Limit::Window(_) => pace.time(tokens),
+            PrefillLimit::Window(_) => pace.time(tokens),
         }
     }
 }
 
 /// Prompts that were let through lately.
 #[derive(Debug, Default)]
-pub(super) struct Recent {
+pub(super) struct RecentGrants {
     grants: VecDeque<(Instant, u64)>,
 }
 
-impl Recent {
+impl RecentGrants {
     /// A prompt of `tokens` was let through.
     pub(super) fn on_grant(&mut self, now: Instant, tokens: u64) {
         self.grants.push_back((now, tokens));
@@ -190,10 +190,10 @@
 
     /// Whether a prompt of `tokens` may go now, beside `unread` that went
     /// before. One that is longer than a pause allows goes alone.
-    pub(super) fn fits(&self, limit: Limit, unread: u64, tokens: u64) -> bool {
+    pub(super) fn fits(&self, limit: PrefillLimit, unread: u64, tokens: u64) -> bool {
         match limit {
-            Limit::Window(window) => unread < window,
-            Limit::Paced(budget) => {
+            PrefillLimit::Window(window) => unread < window,
+            PrefillLimit::PerGap(budget) => {
                 let recent: u64 = self.grants.iter().map(|(_, tokens)| tokens).sum();
                 (recent == 0 || recent + tokens <= budget) && unread < budget * BEHIND
             }
--- a/kingcupbay_core/src/admission/report.rs
+++ b/kingcupbay_core/src/admission/report.rs
@@ -11,7 +11,7 @@
     /// It takes nothing new.
     pub leaving: bool,
     /// How long until it is gone, where it knows.
-    pub left: Option<Span>,
+    pub remaining: Option<Span>,
     /// An order about a base model is in progress.
     pub busy: bool,
     /// Orders accepted since it started; fewer than before tell a restart.
@@ -25,7 +25,7 @@
     /// Tokens of memory.
     pub memory: u64,
     /// Base models with their adapters.
-    pub held: Vec<Held>,
+    pub resident: Vec<Held>,
     /// Adapters on their way, with their versions.
     pub pending: Vec<(AdapterName, u32)>,
     /// Requests that run.
@@ -46,12 +46,12 @@
 impl Report {
     /// The version in which `name` is loaded.
     pub fn version(&self, name: &AdapterName) -> Option<u32> {
-        held_version(&self.held, name)
+        held_version(&self.resident, name)
     }
 
     /// Whether the base model of `name` is loaded.
     pub fn has_model(&self, name: &AdapterName) -> bool {
-        self.held.iter().any(|held| held.model == name.model)
+        self.resident.iter().any(|held| held.model == name.model)
     }
 
     /// Whether `name` is on its way.
@@ -61,12 +61,12 @@
 
     /// Places that adapters take, those on their way included.
     pub fn places_taken(&self) -> usize {
-        self.held.iter().map(|held| held.adapters.len()).sum::<usize>() + self.pending.len()
+        self.resident.iter().map(|held| held.adapters.len()).sum::<usize>() + self.pending.len()
     }
 
     /// Every loaded adapter with its version.
     pub fn adapters(&self) -> impl Iterator<Item = (AdapterName, u32)> {
-        self.held.iter().flat_map(|held| {
+        self.resident.iter().flat_map(|held| {
             held.adapters.iter().map(|(adapter, &version)| {
                 let name =
                     AdapterName { model: held.model.clone(), adapter: Some(adapter.clone()) };
--- a/kingcupbay_core/src/admission/running.rs
+++ b/kingcupbay_core/src/admission/running.rs
@@ -8,7 +8,7 @@
     wire::sidecar::Want,
 };
 
-use super::{pace::Pace, report::Report};
+use super::{report::Report, speed::Speed};
 
 /// A place that was granted and whose request no report has shown by then was
 /// never used: its entry died or its request was lost on the way.
@@ -102,7 +102,7 @@
         now: Instant,
         passed: Span,
         report: &Report,
-        pace: &mut Pace,
+        pace: &mut Speed,
     ) {
         let quiet = !std::mem::take(&mut self.reading) && self.unread() == 0;
         let (mut events, mut time) = (0, Span::ZERO);
--- a/kingcupbay_core/src/admission/pace.rs
+++ b/kingcupbay_core/src/admission/speed.rs
@@ -45,9 +45,9 @@
 /// ones are pauses without requests.
 const INTERVAL_MAX: f64 = 1_000.0;
 
-/// Learned pace of one engine.
+/// PrefillScale pace of one engine.
 #[derive(Debug)]
-pub struct Pace {
+pub struct Speed {
     /// Time to a first event against the length of its prompt.
     fit: Fit,
     /// Milliseconds between two events of a stream.
@@ -85,8 +85,8 @@
     }
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
+impl Default for Speed {
+    fn default() -> Speed {
         let late = FIRST_OFFSET + FIRST_PROMPT / FIRST_PACE;
         let half = FIRST_WEIGHT / 2.0;
         let fit = Fit {
@@ -96,7 +96,7 @@
             xx: half * FIRST_PROMPT * FIRST_PROMPT,
             xy: half * FIRST_PROMPT * late,
         };
-        Pace {
+        Speed {
             fit,
             event: FIRST_EVENT,
             stride: FIRST_STRIDE,
@@ -106,7 +106,7 @@
     }
 }
 
-impl Pace {
+impl Speed {
     /// A prompt of `tokens`, before which no other was unread, had its first
     /// event `took` after it was let through. Only how much longer a longer one
     /// takes tells the pace; what all take beside is the same.
--- a/kingcupbay_core/tests/admission.rs
+++ b/kingcupbay_core/tests/admission.rs
@@ -44,7 +44,7 @@
     let adapters: BTreeMap<String, u32> =
         adapters.iter().map(|&(name, version)| (name.to_owned(), version)).collect();
     let held = vec![Held { model: "base".into(), version: 1, adapters }];
-    Report { orders, memory: 100_000, held, ..Report::default() }
+    Report { orders, memory: 100_000, resident: held, ..Report::default() }
 }
 
 fn runs(mut report: Report, runs: &[(&str, u64)]) -> Report {
@@ -102,7 +102,7 @@
 fn a_held_adapter_is_granted_at_once_with_its_version() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
-    let actions = engine.on_want(at(1), Ticket(1), want("a", "roses"));
+    let actions = engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
     assert_eq!(answers(&actions), [(1, GRANTED)]);
 }
 
@@ -116,7 +116,7 @@
     let base = AdapterName { model: "base".into(), adapter: None };
     let [order] = orders(&actions)[..] else { panic!("{actions:?}") };
     assert_eq!((&order.name, order.after, order.fencing), (&base, Some(0), 7));
-    let refused = engine.on_want(at(1), Ticket(1), want("a", "roses"));
+    let refused = engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
     assert!(matches!(answers(&refused)[..], [(1, Verdict::Refused { why: Refusal::Unready, .. })]));
 }
 
@@ -127,7 +127,7 @@
     let mut engine = Admission::new("upstream-1");
     engine.on_spec(Engine { slots: 8, places: 2, ..Engine::default() });
     engine.on_report(at(0), report(0, &[]));
-    let actions = engine.on_want(at(1), Ticket(1), want("a", "roses"));
+    let actions = engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
     assert_eq!(orders(&actions), [] as [&Order; 0]);
 }
 
@@ -138,9 +138,9 @@
 fn an_order_waits_for_the_report_after_the_last_one() {
     let mut engine = engine();
     engine.on_report(at(0), report(3, &[]));
-    let first = engine.on_want(at(1), Ticket(1), want("a", "roses"));
+    let first = engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
     assert_eq!(orders(&first)[0].after, Some(3));
-    let second = engine.on_want(at(2), Ticket(2), want("b", "tulips"));
+    let second = engine.on_permit_request(at(2), Ticket(2), want("b", "tulips"));
     assert_eq!(orders(&second).len(), 0);
     engine.on_reply(at(900), Reply::Unknown);
     assert_eq!(orders(&engine.on_tick(at(901))).len(), 0);
@@ -154,12 +154,12 @@
 fn only_an_unused_adapter_makes_room() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1), ("tulips", 1)]));
-    engine.on_want(at(1), Ticket(1), want("a", "tulips"));
-    let actions = engine.on_want(at(2), Ticket(2), want("b", "lilies"));
+    engine.on_permit_request(at(1), Ticket(1), want("a", "tulips"));
+    let actions = engine.on_permit_request(at(2), Ticket(2), want("b", "lilies"));
     let [order] = orders(&actions)[..] else { panic!("{actions:?}") };
     assert_eq!((&order.name, order.target), (&name("roses"), Target::Unload));
     engine.on_reply(at(3), Reply::Holds);
-    engine.on_want(at(4), Ticket(3), want("c", "roses"));
+    engine.on_permit_request(at(4), Ticket(3), want("c", "roses"));
     let busy = runs(report(1, &[("tulips", 1)]), &[("a", 1)]);
     let actions = engine.on_report(at(5), busy);
     assert_eq!(orders(&actions)[0].name, name("lilies"));
@@ -172,14 +172,14 @@
 fn an_old_version_takes_nothing_new_and_goes_when_unused() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
-    engine.on_want(at(1), Ticket(1), want("a", "roses"));
+    engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
     engine.on_version(name("roses"), 2);
-    let refused = engine.on_want(at(2), Ticket(2), want("b", "roses"));
+    let refused = engine.on_permit_request(at(2), Ticket(2), want("b", "roses"));
     assert!(matches!(
         answers(&refused)[..],
         [(2, Verdict::Refused { why: Refusal::Replacing, .. })]
     ));
-    let actions = engine.on_done(at(50), "a");
+    let actions = engine.on_request_end(at(50), "a");
     assert_eq!(orders(&actions)[0].target, Target::Unload);
     engine.on_reply(at(51), Reply::Holds);
     let actions = engine.on_report(at(52), report(1, &[]));
@@ -193,7 +193,7 @@
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
     let informed = Want { newest: Some(2), ..want("a", "roses") };
-    let actions = engine.on_want(at(1), Ticket(1), informed);
+    let actions = engine.on_permit_request(at(1), Ticket(1), informed);
     assert_eq!(answers(&actions), []);
     assert_eq!(orders(&actions)[0].target, Target::Unload);
 }
@@ -204,12 +204,12 @@
 fn a_place_that_is_never_used_comes_back() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
-    engine.on_want(at(1), Ticket(1), want("a", "roses"));
-    assert_eq!(engine.pressure().running, 1);
+    engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
+    assert_eq!(engine.load_report().running, 1);
     engine.on_report(at(2_000), report(0, &[("roses", 1)]));
-    assert_eq!(engine.pressure().running, 1);
+    assert_eq!(engine.load_report().running, 1);
     engine.on_report(at(3_100), report(0, &[("roses", 1)]));
-    assert_eq!(engine.pressure().running, 0);
+    assert_eq!(engine.load_report().running, 0);
 }
 
 /// An engine restarts under the same id: its count of orders begins anew, and
@@ -218,9 +218,9 @@
 fn a_restart_frees_all_places() {
     let mut engine = engine();
     engine.on_report(at(0), report(5, &[("roses", 1)]));
-    engine.on_want(at(1), Ticket(1), want("a", "roses"));
+    engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
     engine.on_report(at(100), report(0, &[]));
-    assert_eq!(engine.pressure().running, 0);
+    assert_eq!(engine.load_report().running, 0);
 }
 
 /// An engine is to be taken away within two seconds. Whoever waits there is
@@ -229,7 +229,7 @@
 fn a_leaving_engine_sends_its_queue_elsewhere() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[]));
-    engine.on_want(at(1), Ticket(1), want("a", "roses"));
+    engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
     let leaving = Report { leaving: true, ..report(0, &[]) };
     let actions = engine.on_report(at(20), leaving);
     assert!(matches!(answers(&actions)[..], [(1, Verdict::Refused { why: Refusal::Leaving, .. })]));
@@ -242,10 +242,10 @@
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
     for ticket in 1..=5 {
-        engine.on_want(at(1), Ticket(ticket), want(&format!("a{ticket}"), "roses"));
+        engine.on_permit_request(at(1), Ticket(ticket), want(&format!("a{ticket}"), "roses"));
     }
     let urgent = Want { rank: 0, ..want("urgent", "roses") };
-    assert_eq!(answers(&engine.on_want(at(2), Ticket(6), urgent)), []);
+    assert_eq!(answers(&engine.on_permit_request(at(2), Ticket(6), urgent)), []);
     let read = runs(report(0, &[("roses", 1)]), &[("a1", 1), ("a2", 1), ("a3", 1)]);
     assert_eq!(answers(&engine.on_report(at(250), read.clone())), []);
     let actions = engine.on_report(at(302), read);
@@ -262,10 +262,13 @@
         let size = Size { prompt, output: 90_000 };
         Want { size, ..want(attempt, "roses") }
     };
-    assert_eq!(answers(&engine.on_want(at(1), Ticket(1), sized("a", 10))), [(1, GRANTED)]);
-    assert_eq!(answers(&engine.on_want(at(2), Ticket(2), sized("b", 10))), []);
-    assert_eq!(answers(&engine.on_want(at(3), Ticket(3), want("c", "roses"))), []);
-    let actions = engine.on_done(at(4), "a");
+    assert_eq!(
+        answers(&engine.on_permit_request(at(1), Ticket(1), sized("a", 10))),
+        [(1, GRANTED)]
+    );
+    assert_eq!(answers(&engine.on_permit_request(at(2), Ticket(2), sized("b", 10))), []);
+    assert_eq!(answers(&engine.on_permit_request(at(3), Ticket(3), want("c", "roses"))), []);
+    let actions = engine.on_request_end(at(4), "a");
     assert_eq!(answers(&actions)[0], (2, GRANTED));
 }
 
@@ -276,10 +279,10 @@
 fn what_most_wait_for_is_loaded_first() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[]));
-    engine.on_want(at(1), Ticket(1), want("a", "first"));
-    engine.on_want(at(2), Ticket(2), want("b", "rare"));
+    engine.on_permit_request(at(1), Ticket(1), want("a", "first"));
+    engine.on_permit_request(at(2), Ticket(2), want("b", "rare"));
     for ticket in 3..6 {
-        engine.on_want(at(3), Ticket(ticket), want(&format!("c{ticket}"), "popular"));
+        engine.on_permit_request(at(3), Ticket(ticket), want(&format!("c{ticket}"), "popular"));
     }
     engine.on_reply(at(4), Reply::Accepted);
     let mut shown = report(1, &[]);
@@ -297,16 +300,16 @@
 fn a_late_load_from_before_a_restart_finds_a_place() {
     let mut engine = engine();
     engine.on_report(at(0), report(2, &[]));
-    let lost = engine.on_want(at(1), Ticket(1), want("a", "roses"));
+    let lost = engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
     assert_eq!(orders(&lost)[0].after, Some(2));
     engine.on_reply(at(801), Reply::Unknown);
     engine.on_cancel(at(802), Ticket(1));
-    engine.on_silence(at(1_000));
+    engine.on_report_failure(at(1_000));
     engine.on_report(at(2_000), report(0, &[]));
     engine.on_report(at(4_000), report(2, &[("lilies", 1)]));
-    let running = engine.on_want(at(4_001), Ticket(2), want("b", "lilies"));
+    let running = engine.on_permit_request(at(4_001), Ticket(2), want("b", "lilies"));
     assert_eq!(answers(&running), [(2, GRANTED)]);
-    let waits = engine.on_want(at(4_002), Ticket(3), want("c", "tulips"));
+    let waits = engine.on_permit_request(at(4_002), Ticket(3), want("c", "tulips"));
     assert_eq!(orders(&waits), Vec::<&Order>::new());
     let passed = engine.on_report(at(4_100), report(3, &[("lilies", 1)]));
     assert_eq!(orders(&passed)[0].name, name("tulips"));
@@ -319,16 +322,16 @@
 fn a_copy_that_entries_ask_for_is_loaded_first() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("old", 1), ("roses", 1)]));
-    engine.on_want(at(1), Ticket(1), want("a", "roses"));
-    let room = engine.on_copy(at(2), name("popular"));
+    engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
+    let room = engine.on_replica_request(at(2), name("popular"));
     assert_eq!((&orders(&room)[0].name, orders(&room)[0].target), (&name("old"), Target::Unload));
-    engine.on_want(at(3), Ticket(2), want("b", "rare"));
+    engine.on_permit_request(at(3), Ticket(2), want("b", "rare"));
     engine.on_reply(at(4), Reply::Holds);
     let actions = engine.on_report(at(5), report(1, &[("roses", 1)]));
     assert_eq!(orders(&actions)[0].name, name("popular"));
     let mut late = self::engine();
     late.on_report(at(0), Report { busy: true, ..report(0, &[]) });
-    late.on_copy(at(1), name("popular"));
+    late.on_replica_request(at(1), name("popular"));
     assert_eq!(orders(&late.on_report(at(2_100), report(0, &[]))), Vec::<&Order>::new());
 }
 
@@ -341,9 +344,9 @@
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[]));
     for ticket in 1..7 {
-        engine.on_want(at(1), Ticket(ticket), want("a", &format!("cold-{ticket}")));
+        engine.on_permit_request(at(1), Ticket(ticket), want("a", &format!("cold-{ticket}")));
     }
-    let actions = engine.on_want(at(2), Ticket(7), want("b", "cold-7"));
+    let actions = engine.on_permit_request(at(2), Ticket(7), want("b", "cold-7"));
     let [(7, Verdict::Refused { why: Refusal::Busy, after })] = answers(&actions)[..] else {
         panic!("{actions:?}")
     };
@@ -357,7 +360,7 @@
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[]));
     for ticket in 1..5 {
-        engine.on_want(at(ticket), Ticket(ticket), want("a", &format!("cold-{ticket}")));
+        engine.on_permit_request(at(ticket), Ticket(ticket), want("a", &format!("cold-{ticket}")));
     }
     let actions = engine.on_tick(at(1_601));
     let [(1, Verdict::Refused { why: Refusal::Busy, after })] = answers(&actions)[..] else {
@@ -432,7 +435,7 @@
             let ticket = self.asked.len() as u64;
             self.asked.insert(ticket, now);
             let cold = want(&format!("r{ticket}"), &format!("cold{ticket}"));
-            actions.extend(self.admission.on_want(at(now), Ticket(ticket), cold));
+            actions.extend(self.admission.on_permit_request(at(now), Ticket(ticket), cold));
         }
         self.carry_out(now, &actions)
     }
@@ -443,7 +446,7 @@
             match action {
                 Action::Answer(Ticket(ticket), Verdict::Granted { .. }) => {
                     in_time += u32::from(now - self.asked[ticket] <= 650);
-                    self.admission.on_done(at(now), &format!("r{ticket}"));
+                    self.admission.on_request_end(at(now), &format!("r{ticket}"));
                 }
                 Action::Answer(..) => {}
                 Action::Order(order) => {
--- a/kingcupbay_core/tests/engine/mod.rs
+++ b/kingcupbay_core/tests/engine/mod.rs
@@ -89,7 +89,7 @@
             let ticket = Ticket(id as u64);
             waiting.insert(ticket, (at, size));
             let want = want(id, size, kind.aim);
-            actions.extend(admission.on_want(instant(now), ticket, want));
+            actions.extend(admission.on_permit_request(instant(now), ticket, want));
         } else if step_end <= now {
             step_end = now + step(kind, now, slow, &mut streams);
             let ended = |stream: &Stream| stream.made >= stream.output;
@@ -98,9 +98,9 @@
             for id in gone {
                 let Some(stream) = streams.remove(&id) else { continue };
                 let pause = Span::from_micros((stream.got.pause * 1e3) as u64);
-                admission.on_stream(&id, pause);
+                admission.on_stream_complete(&id, pause);
                 got.push(stream.got);
-                actions.extend(admission.on_done(instant(now), &id));
+                actions.extend(admission.on_request_end(instant(now), &id));
             }
         } else {
             actions.extend(admission.on_report(instant(now), report(kind, now, &streams)));
@@ -130,7 +130,7 @@
             reported = now;
         }
         // What has come meanwhile may want the next report sooner.
-        report_at = reported + admission.next_report().as_micros() as f64 / 1e3;
+        report_at = reported + admission.report_interval().as_micros() as f64 / 1e3;
     }
     got
 }
@@ -216,7 +216,7 @@
     };
     Report {
         memory: 129_464,
-        held: vec![Held { model: "base".into(), version: 1, adapters }],
+        resident: vec![Held { model: "base".into(), version: 1, adapters }],
         runs: streams.iter().filter(|(_, stream)| events(stream) > 0).map(run).collect(),
         waiting: streams.values().filter(|stream| events(stream) == 0).count() as u32,
         ..Report::default()
--- a/kingcupbay_core/tests/told.rs
+++ b/kingcupbay_core/tests/load_report.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used)]
 
 use kingcupbay_core::{
-    admission::told::Told,
+    admission::load_report::LoadReporter,
     deployment::model::{AdapterName, Held},
     placement::Placement,
     time::{Instant, Span},
@@ -22,7 +22,11 @@
 
 /// Tells `pressure` at each of `times`; how often it went, and how often with
 /// the adapters.
-fn tell(told: &mut Told, times: impl Iterator<Item = u64>, pressure: &Pressure) -> (u32, u32) {
+fn tell(
+    told: &mut LoadReporter,
+    times: impl Iterator<Item = u64>,
+    pressure: &Pressure,
+) -> (u32, u32) {
     let mut count = (0, 0);
     for time in times {
         let Some(news) = told.next(at(time), pressure) else { continue };
@@ -38,14 +42,14 @@
 /// now.
 #[test]
 fn what_is_known_is_not_told_again() {
-    let mut told = Told::default();
+    let mut told = LoadReporter::default();
     let steady = pressure(13, &[("roses", 1)]);
     assert_eq!(tell(&mut told, (0..60_000).step_by(250), &steady), (120, 1));
 }
 
 #[test]
 fn what_changes_a_choice_is_told_at_once() {
-    let mut told = Told::default();
+    let mut told = LoadReporter::default();
     tell(&mut told, 0..1, &pressure(13, &[("roses", 1)]));
     assert_eq!(told.next(at(10), &pressure(15, &[("roses", 1)])), None);
     let busier = told.next(at(20), &pressure(19, &[("roses", 1)])).unwrap();
@@ -64,7 +68,7 @@
 /// their requests to engines that have to load them first.
 #[test]
 fn an_entry_that_lacks_the_adapters_is_told_them() {
-    let mut told = Told::default();
+    let mut told = LoadReporter::default();
     let held = pressure(13, &[("roses", 1)]);
     assert!(told.next(at(0), &held).unwrap().held.is_some());
     assert!(told.next(at(250), &held).unwrap().held.is_some());
--- a/kingcupbay_core/tests/fates.rs
+++ b/kingcupbay_core/tests/lost_messages.rs
@@ -105,19 +105,19 @@
     engine.on_spec(Engine { slots: SLOTS, memory: 100_000, places: 2, ..Engine::default() });
     let adapters = [("roses".to_owned(), 1)].into();
     let held = vec![Held { model: "base".into(), version: 1, adapters }];
-    let empty = Report { memory: 100_000, held, ..Report::default() };
+    let empty = Report { memory: 100_000, resident: held, ..Report::default() };
     engine.on_report(at(0), empty.clone());
     for (index, fate) in fates.iter().enumerate() {
         let attempt = format!("a{index}");
-        engine.on_want(at(1), Ticket(index as u64), want(&attempt));
+        engine.on_permit_request(at(1), Ticket(index as u64), want(&attempt));
         if *fate == Fate::AsksTwice {
-            engine.on_want(at(2), Ticket(10 + index as u64), want(&attempt));
+            engine.on_permit_request(at(2), Ticket(10 + index as u64), want(&attempt));
         }
     }
     for now in (10..6_000).step_by(10) {
         for (index, fate) in fates.iter().enumerate() {
             if fate.told().contains(&now) {
-                engine.on_done(at(now), &format!("a{index}"));
+                engine.on_request_end(at(now), &format!("a{index}"));
             }
         }
         if now % 60 == 0 {
@@ -130,7 +130,7 @@
             let runs = shown.map(run).collect();
             engine.on_report(at(now), Report { runs, ..empty.clone() });
         }
-        assert!(engine.pressure().running <= SLOTS, "{fates:?} at {now} ms");
+        assert!(engine.load_report().running <= SLOTS, "{fates:?} at {now} ms");
     }
     engine
 }
@@ -144,11 +144,11 @@
             for third in FATES {
                 let fates = [first, second, third];
                 let mut engine = play(&fates);
-                assert_eq!(engine.pressure().running, 0, "{fates:?}");
-                assert_eq!(engine.pressure().waiting, 0, "{fates:?}");
+                assert_eq!(engine.load_report().running, 0, "{fates:?}");
+                assert_eq!(engine.load_report().waiting, 0, "{fates:?}");
                 let mut places = 0;
                 for ticket in 0..u64::from(SLOTS) + 1 {
-                    let actions = engine.on_want(
+                    let actions = engine.on_permit_request(
                         at(6_000),
                         Ticket(100 + ticket),
                         want(&format!("b{ticket}")),
--- a/kingcupbay_core/tests/pauses.rs
+++ b/kingcupbay_core/tests/pauses.rs
@@ -6,7 +6,7 @@
 
 use engine::{Got, Kind, Load, play};
 use kingcupbay_core::{
-    admission::{pace::Pace, pauses::Limit},
+    admission::{prefill::PrefillLimit, speed::Speed},
     time::Span,
 };
 
@@ -74,13 +74,13 @@
 /// events later, so they go as soon as the engine has read those before.
 #[test]
 fn prompts_are_not_held_back_where_no_stream_would_stand_still() {
-    let mut pace = Pace::default();
-    let first = Limit::new(&pace, Span::from_millis(300), 1.0);
-    assert!(matches!(first, Limit::Paced(_)), "{first:?}");
+    let mut pace = Speed::default();
+    let first = PrefillLimit::new(&pace, Span::from_millis(300), 1.0);
+    assert!(matches!(first, PrefillLimit::PerGap(_)), "{first:?}");
     for _ in 0..60 {
         pace.on_tokens(10, 20);
         pace.on_events(10, Span::from_millis(230));
     }
-    let learned = Limit::new(&pace, Span::from_millis(300), 1.0);
-    assert!(matches!(learned, Limit::Window(_)), "{learned:?}");
+    let learned = PrefillLimit::new(&pace, Span::from_millis(300), 1.0);
+    assert!(matches!(learned, PrefillLimit::Window(_)), "{learned:?}");
 }
--- a/kingcupbayd/src/registered/start.rs
+++ b/kingcupbayd/src/registered/start.rs
@@ -210,7 +210,7 @@
 async fn answer_sidecar_operator(sidecar: Rc<Sidecar>, request: Request) -> Response<BoxBody> {
     match request.path() {
         "/metrics" => {
-            let pressure = sidecar.admission.borrow().pressure();
+            let pressure = sidecar.admission.borrow().load_report();
             http::reply::text(StatusCode::OK, sidecar.metrics.text(&pressure))
         }
         "/dump" => http::reply::text(StatusCode::OK, sidecar.admission.borrow().dump()),
--- a/kingcupbayd/src/sidecar/desk.rs
+++ b/kingcupbayd/src/sidecar/desk.rs
@@ -52,7 +52,7 @@
     sidecar.answers.borrow_mut().insert(ticket, sender);
     let waiting = Waiting { sidecar: sidecar.clone(), ticket };
     let (attempt, name) = (want.attempt.clone(), want.name.adapter.clone());
-    let actions = sidecar.admission.borrow_mut().on_want(now, ticket, want);
+    let actions = sidecar.admission.borrow_mut().on_permit_request(now, ticket, want);
     sidecar.perform(actions);
     sidecar.wake.notify_one();
     let verdict =
@@ -81,9 +81,9 @@
     let now = clock::now();
     for Done { attempt, pause } in dones {
         if let Some(pause) = pause {
-            sidecar.admission.borrow_mut().on_stream(&attempt, pause);
+            sidecar.admission.borrow_mut().on_stream_complete(&attempt, pause);
         }
-        let actions = sidecar.admission.borrow_mut().on_done(now, &attempt);
+        let actions = sidecar.admission.borrow_mut().on_request_end(now, &attempt);
         sidecar.perform(actions);
     }
     Response::with_body(StatusCode::NO_CONTENT, BoxBody::new(()))
@@ -95,7 +95,7 @@
         Ok(name) => name,
         Err(answer) => return answer,
     };
-    let actions = sidecar.admission.borrow_mut().on_copy(clock::now(), name);
+    let actions = sidecar.admission.borrow_mut().on_replica_request(clock::now(), name);
     sidecar.perform(actions);
     Response::with_body(StatusCode::NO_CONTENT, BoxBody::new(()))
 }
--- a/kingcupbayd/src/sidecar/engine.rs
+++ b/kingcupbayd/src/sidecar/engine.rs
@@ -39,14 +39,14 @@
                 misses += 1;
                 if misses == MISSES {
                     warn!(sidecar.node.log, ""; "event" => "engine_lost", "error" => error);
-                    let actions = sidecar.admission.borrow_mut().on_silence(clock::now());
+                    let actions = sidecar.admission.borrow_mut().on_report_failure(clock::now());
                     sidecar.perform(actions);
                 }
             }
         }
         let asked = clock::now();
         loop {
-            let wait = sidecar.admission.borrow().next_report();
+            let wait = sidecar.admission.borrow().report_interval();
             let passed = clock::now().since(asked);
             if passed >= wait {
                 break;
--- a/kingcupbayd/src/sidecar/mod.rs
+++ b/kingcupbayd/src/sidecar/mod.rs
@@ -19,7 +19,7 @@
 };
 
 use kingcupbay_core::{
-    admission::{Action, Admission, Ticket, told::Told},
+    admission::{Action, Admission, Ticket, load_report::LoadReporter},
     time::Instant,
     wire::sidecar::Verdict,
 };
@@ -53,7 +53,7 @@
 pub(crate) struct Asking {
     /// When it last did.
     pub(crate) asked: Instant,
-    pub(crate) told: Told,
+    pub(crate) told: LoadReporter,
 }
 
 impl Sidecar {
--- a/kingcupbayd/src/sidecar/tell.rs
+++ b/kingcupbayd/src/sidecar/tell.rs
@@ -29,7 +29,7 @@
         let actions = sidecar.admission.borrow_mut().on_tick(now);
         sidecar.perform(actions);
         sidecar.entries.borrow_mut().retain(|_, entry| now.since(entry.asked) < QUIET);
-        let mut pressure = sidecar.admission.borrow().pressure();
+        let mut pressure = sidecar.admission.borrow().load_report();
         pressure.engine = Some(sidecar.engine);
         for (&address, entry) in sidecar.entries.borrow_mut().iter_mut() {
             if let Some(news) = entry.told.next(now, &pressure) {
