--- a/kingcupbay_core/src/admission/estimate.rs
+++ b/kingcupbay_core/src/admission/estimate.rs
@@ -1,4 +1,4 @@
-//! Whether a request is taken in, and how long it would wait for its place.
+//! Decides whether a permit request is accepted, and predicts how long it waits.
 
 use crate::{
     deployment::model::AdapterName,
@@ -8,13 +8,13 @@
 
 use super::{Admission, prefill::PrefillLimit};
 
-/// Longest pause between two events where routes name none: as long as the
-/// users' routes that do.
-pub(super) const GAP: Span = Span::from_millis(300);
+/// Longest pause between two events for routes that set none. The users' routes
+/// that do set one use the same.
+pub(super) const DEFAULT_EVENT_GAP: Span = Span::from_millis(300);
 
 impl Admission {
-    /// Why no request for `want` is taken at all.
-    pub(super) fn closed(&self, want: &Want) -> Option<Refusal> {
+    /// Returns why no permit request such as `want` is accepted now, if so.
+    pub(super) fn refusal_reason(&self, want: &Want) -> Option<Refusal> {
         let Some(report) = &self.report else { return Some(Refusal::Unready) };
         if report.leaving {
             return Some(Refusal::Leaving);
@@ -22,59 +22,61 @@
         if !report.has_model(&want.name) {
             return Some(Refusal::Unready);
         }
-        if want.size.total() > self.memory(report) {
+        if want.size.total() > self.usable_memory(report) {
             return Some(Refusal::TooLarge);
         }
-        // A replacement waits until nothing runs on the old version, which
-        // would keep this request waiting for seconds; another engine loads
-        // the new version in a quarter of one.
-        let outdated = report.version(&want.name).is_some_and(|held| self.is_old(&want.name, held));
+        // A replacement waits until no request uses the old version, which would
+        // delay this request for seconds. Another engine loads the new version in
+        // a quarter of a second.
+        let outdated =
+            report.version(&want.name).is_some_and(|version| self.is_outdated(&want.name, version));
         (outdated && self.is_used(&want.name)).then_some(Refusal::Replacing)
     }
 
-    /// How long `want` would wait for its place.
-    pub(super) fn estimate(&self, now: Instant, want: &Want) -> Span {
-        let ahead = self.running.unread() + self.queue.tokens_before(want.rank);
-        let reading = self.reading(ahead.saturating_sub(self.limit().at_once()));
+    /// Returns the expected time until `want` gets a permit.
+    pub(super) fn estimate_wait(&self, now: Instant, want: &Want) -> Span {
+        let ahead = self.running.unread_tokens() + self.queue.prompt_tokens_before(want.rank);
+        let prefill = self.prefill_wait(ahead.saturating_sub(self.prefill_limit().burst_tokens()));
         let full = self.running.len() + self.queue.len() >= self.spec.slots.max(1) as usize;
-        let leaving = match full {
+        let slot = match full {
             true => {
-                let over = self.running.len() + self.queue.len() + 1 - self.spec.slots as usize;
-                self.pace.ends(over as u64)
+                let excess = self.running.len() + self.queue.len() + 1 - self.spec.slots as usize;
+                self.speed.time_for_ends(excess as u64)
             }
             false => Span::ZERO,
         };
-        reading.max(self.loading(now, &want.name)).max(leaving)
+        prefill.max(self.load_wait(now, &want.name)).max(slot)
     }
 
-    /// Longest pause between events that is to be kept.
-    pub(super) fn gap(&self) -> Span {
-        self.running.gap().unwrap_or(GAP)
+    /// Returns the event gap to keep: the shortest of all running requests.
+    pub(super) fn event_gap(&self) -> Span {
+        self.running.event_gap().unwrap_or(DEFAULT_EVENT_GAP)
     }
 
-    /// How fast prompts may be let through.
-    pub(super) fn limit(&self) -> PrefillLimit {
-        PrefillLimit::new(&self.pace, self.gap(), self.learned.part())
+    /// Returns the limit on prompt tokens sent to the engine.
+    pub(super) fn prefill_limit(&self) -> PrefillLimit {
+        PrefillLimit::new(&self.speed, self.event_gap(), self.prefill_scale.factor())
     }
 
-    /// Time until the last of `tokens` is let through.
-    pub(super) fn reading(&self, tokens: u64) -> Span {
-        self.limit().time(&self.pace, self.gap(), tokens)
+    /// Returns the expected time until the last of `tokens` can be sent to the engine.
+    pub(super) fn prefill_wait(&self, tokens: u64) -> Span {
+        self.prefill_limit().wait_time(&self.speed, self.event_gap(), tokens)
     }
 
-    /// Time until `name` is loaded, behind the others that are waited for.
-    fn loading(&self, now: Instant, name: &AdapterName) -> Span {
+    /// Returns the expected time until `name` is loaded after the other adapters that
+    /// queued requests wait for.
+    fn load_wait(&self, now: Instant, name: &AdapterName) -> Span {
         let Some(report) = &self.report else { return Span::ZERO };
-        if report.version(name).is_some_and(|held| !self.is_old(name, held)) {
+        if report.version(name).is_some_and(|version| !self.is_outdated(name, version)) {
             return Span::ZERO;
         }
         if report.is_pending(name) {
-            return self.loads.time(now);
+            return self.loads.load_time(now);
         }
-        let waited = self.queue.wanted().into_iter();
-        let others = waited.filter(|other| {
+        let awaited = self.queue.awaited_adapters().into_iter();
+        let others = awaited.filter(|other| {
             *other != name && report.version(other).is_none() && !report.is_pending(other)
         });
-        self.loads.wait(now, name, report.pending.len() + others.count())
+        self.loads.wait_time(now, name, report.pending.len() + others.count())
     }
 }
--- a/kingcupbay_core/src/admission/load_report.rs
+++ b/kingcupbay_core/src/admission/load_report.rs
@@ -1,64 +1,65 @@
-//! What one entry was last told of an engine, and what is worth telling next.
+//! Decides which load reports an entry is sent.
 //!
-//! Every daemon beside an engine tells every entry, and the smallest hosts' links are
-//! narrow. Most messages would say nothing new: adapters are held for seconds, and a
-//! load that moves by a few places changes no choice.
+//! Every sidecar sends load reports to every entry, and the smallest hosts have
+//! narrow links. Most reports would contain nothing new: adapters stay loaded for
+//! seconds, and small changes of load do not affect which engine an entry chooses.
 
 use crate::{
     time::{Instant, Span},
     wire::sidecar::Pressure,
 };
 
-/// A message without news goes this often, so that a silent daemon is found: an
-/// entry takes three missing ones for its end.
-const HEARTBEAT: Span = Span::from_millis(500);
+/// Interval of reports without changes, so that a silent sidecar is detected: an
+/// entry treats it as gone after three missing reports.
+const HEARTBEAT_INTERVAL: Span = Span::from_millis(500);
 
-/// Requests, in percent of the places, by which a load must have moved to be
-/// told at once. An engine counts as busy from 40 percent on.
-const MOVED: u32 = 8;
+/// Change of running and waiting requests that is reported at once, in percent of
+/// the slots. An engine counts as busy from 40 percent on.
+const LOAD_CHANGE_PERCENT: u32 = 8;
 
-/// Time to read waiting prompts by which it must have moved; an aim for a first
-/// event is some ten times as long.
-const DELAYED: Span = Span::from_millis(80);
+/// Change of the time to prefill waiting prompts that is reported at once. Latency
+/// targets are about ten times as long.
+const DELAY_CHANGE: Span = Span::from_millis(80);
 
-/// What an entry was told.
+/// State of the load reports sent to one entry.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReporter {
     last: Option<Pressure>,
-    at: Instant,
-    /// It has taken the adapters of `last`.
-    taken: bool,
+    sent_at: Instant,
+    /// Whether the entry has received the adapters of `last`.
+    acknowledged: bool,
 }
 
 impl LoadReporter {
-    /// What to tell it now, if anything; adapters only if it lacks them.
-    pub fn next(&mut self, now: Instant, pressure: &Pressure) -> Option<Pressure> {
-        let same_held = self.last.as_ref().is_some_and(|last| last.held == pressure.held);
-        let known = self.taken && same_held;
-        let moved = self.last.as_ref().is_none_or(|last| has_moved(last, pressure));
-        if known && !moved && now.since(self.at) < HEARTBEAT {
+    /// Returns the report to send now, if any. It includes the resident adapters only
+    /// if the entry lacks them.
+    pub fn next(&mut self, now: Instant, report: &Pressure) -> Option<Pressure> {
+        let same_adapters = self.last.as_ref().is_some_and(|last| last.held == report.held);
+        let known = self.acknowledged && same_adapters;
+        let changed = self.last.as_ref().is_none_or(|last| load_changed(last, report));
+        if known && !changed && now.since(self.sent_at) < HEARTBEAT_INTERVAL {
             return None;
         }
-        self.at = now;
-        self.taken = known;
-        self.last = Some(pressure.clone());
-        let held = if known { None } else { pressure.held.clone() };
-        Some(Pressure { held, ..pressure.clone() })
+        self.sent_at = now;
+        self.acknowledged = known;
+        self.last = Some(report.clone());
+        let held = if known { None } else { report.held.clone() };
+        Some(Pressure { held, ..report.clone() })
     }
 
-    /// It answered to what it was told at `at`, or did not: whether it knows by
-    /// now what the engine holds. An answer to an older message says nothing.
-    pub fn on_answer(&mut self, at: Instant, taken: bool) {
-        if at == self.at {
-            self.taken = taken;
+    /// Applies the entry's answer to the report sent at `at`: whether it knows the
+    /// resident adapters. An answer to an older report is ignored.
+    pub fn on_answer(&mut self, at: Instant, acknowledged: bool) {
+        if at == self.sent_at {
+            self.acknowledged = acknowledged;
         }
     }
 }
 
-fn has_moved(last: &Pressure, now: &Pressure) -> bool {
+fn load_changed(last: &Pressure, now: &Pressure) -> bool {
     let load = |pressure: &Pressure| pressure.running + pressure.waiting;
-    let places = load(last).abs_diff(load(now)) * 100;
+    let change = load(last).abs_diff(load(now)) * 100;
     last.open != now.open
-        || places >= now.slots.max(1) * MOVED
-        || last.delay.abs_diff(now.delay) >= DELAYED
+        || change >= now.slots.max(1) * LOAD_CHANGE_PERCENT
+        || last.delay.abs_diff(now.delay) >= DELAY_CHANGE
 }
--- a/kingcupbay_core/src/admission/loads.rs
+++ b/kingcupbay_core/src/admission/loads.rs
@@ -1,5 +1,5 @@
-//! How fast an engine gets adapters, and how many it has on their way at once,
-//! learned from its own loads.
+//! Learns from an engine's own loads how fast adapters load, and limits how many
+//! it loads at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,166 +8,170 @@
     time::{Instant, Span},
 };
 
-/// Adapters that may be on their way to one engine at a time; it refuses more.
-const TRANSIT: u32 = 4;
+/// Most adapters that may be loading on one engine at a time; it refuses more.
+const MAX_PENDING_LOADS: u32 = 4;
 
-/// Adapters on their way at once before any load was seen. After a restart of
-/// everything all engines begin together, and the store has room for fewer than
+/// Limit on concurrent loads before any load was measured. After a full restart all
+/// engines start loading together, and the store has capacity for fewer loads than
 /// there are engines.
-const FIRST_MOST: u32 = 1;
+const INITIAL_PENDING_LOADS: u32 = 1;
 
-/// Time of a load from the weight store at full speed, in milliseconds.
-const LOAD: f64 = 250.0;
+/// Duration of a load from the weight store at full speed, in milliseconds.
+const FULL_SPEED_LOAD_MS: f64 = 250.0;
 
-/// LoadLimiter shorter than this came from the engine's own memory, in milliseconds.
-/// They take a tenth of a load from the store and do not slow others down.
-const OWN: f64 = 120.0;
+/// A shorter load, in milliseconds, came from the engine's own memory. Such loads
+/// take a tenth of the time of a load from the store and do not slow others down.
+const MAX_LOCAL_LOAD_MS: f64 = 120.0;
 
-/// A load this much longer than at full speed tells that too many are on their
-/// way over all engines.
-const SLOW: f64 = 1.4;
+/// A load that takes this multiple of the time at full speed shows that too many are
+/// in progress over all engines.
+const SLOW_LOAD_RATIO: f64 = 1.4;
 
-/// A load this close to full speed tells that there is room for more.
-const QUICK: f64 = 1.2;
+/// A load within this multiple of the time at full speed shows spare capacity.
+const FAST_LOAD_RATIO: f64 = 1.2;
 
-/// Part of what a load took too long that the pause grows by.
-const MORE: f64 = 0.5;
+/// Growth of the pause after a slow load, as a share of the load's excess time.
+const PAUSE_GROWTH_SHARE: f64 = 0.5;
 
-/// Part of the pause that stays after a quick load.
-const LESS: f64 = 0.7;
+/// Factor applied to the pause after a fast load.
+const PAUSE_DECAY_FACTOR: f64 = 0.7;
 
 /// Longest pause between two loads, in milliseconds.
-const PAUSE_MAX: f64 = 1_750.0;
+const MAX_PAUSE_MS: f64 = 1_750.0;
 
-/// A pause shorter than this, in milliseconds, is none.
-const PAUSE_MIN: f64 = 20.0;
+/// A shorter pause, in milliseconds, is treated as none.
+const MIN_PAUSE_MS: f64 = 20.0;
 
-/// Weight of one load against those before it.
-const LOAD_WEIGHT: f64 = 0.3;
+/// Weight of the latest load in the moving average of load times.
+const SAMPLE_WEIGHT: f64 = 0.3;
 
-/// Time in which a slow load is half forgotten, in seconds.
-const FORGET: f64 = 2.0;
+/// Time in which the effect of a slow load on the estimate halves, in seconds.
+const SLOWDOWN_HALF_LIFE_SECS: f64 = 2.0;
 
-/// How fast adapters come, and how many this engine has on their way at once.
+/// Limits the rate and number of concurrent loads of one engine.
 ///
 /// The weight store serves a few loads over all engines at full speed and slows
-/// down in proportion beyond, so more at once bring no more a second; they only
-/// make each take longer. Engines do not know of each other's loads, but each
-/// sees how long its own take: when they are slow it has one on its way, and
-/// pauses between two. The store then brings as many, each in less time, so
-/// that those who ask last still get a first event in time.
+/// down in proportion beyond, so more concurrent loads do not increase throughput
+/// and only make each take longer. Engines do not know of each other's loads, but
+/// each can time its own. When loads are slow, an engine loads one adapter at a time
+/// and pauses between two. The store then serves as many loads, each in less time,
+/// so that requests queued last still get their first event in time.
 #[derive(Debug)]
 pub struct LoadLimiter {
-    /// Most loads on their way. Invariant: 1 to [`TRANSIT`].
-    most: u32,
-    /// Milliseconds between the end of a load and the next one.
-    pause: f64,
-    free_at: Instant,
-    /// Milliseconds that a load from the store takes, as of `at`.
-    time: f64,
-    at: Instant,
-    /// LoadLimiter on their way and since when.
-    begun: BTreeMap<AdapterName, Instant>,
-    /// Adapters that the engine has held since it started; it has kept copies.
-    had: BTreeSet<AdapterName>,
+    /// Most concurrent loads. Invariant: 1 to [`MAX_PENDING_LOADS`].
+    max_pending: u32,
+    /// Milliseconds between the end of a load and the start of the next.
+    pause_ms: f64,
+    next_start: Instant,
+    /// Milliseconds of a load from the store, as of `measured_at`.
+    load_ms: f64,
+    measured_at: Instant,
+    /// Loads in progress, with the time of their start.
+    started: BTreeMap<AdapterName, Instant>,
+    /// Adapters loaded since the engine started, of which it keeps copies in memory.
+    cached: BTreeSet<AdapterName>,
 }
 
 impl Default for LoadLimiter {
     fn default() -> LoadLimiter {
         LoadLimiter {
-            most: FIRST_MOST,
-            pause: 0.0,
-            free_at: Instant::default(),
-            time: LOAD,
-            at: Instant::default(),
-            begun: BTreeMap::new(),
-            had: BTreeSet::new(),
+            max_pending: INITIAL_PENDING_LOADS,
+            pause_ms: 0.0,
+            next_start: Instant::default(),
+            load_ms: FULL_SPEED_LOAD_MS,
+            measured_at: Instant::default(),
+            started: BTreeMap::new(),
+            cached: BTreeSet::new(),
         }
     }
 }
 
 impl LoadLimiter {
-    /// The engine has restarted and kept nothing.
+    /// Handles a restart, in which the engine lost all adapters and copies.
     pub fn on_restart(&mut self) {
-        self.begun.clear();
-        self.had.clear();
+        self.started.clear();
+        self.cached.clear();
     }
 
-    /// The engine has accepted the load of `name`.
-    pub fn on_begin(&mut self, now: Instant, name: AdapterName) {
-        self.begun.entry(name).or_insert(now);
+    /// Records that the engine accepted the load of `name`.
+    pub fn on_load_start(&mut self, now: Instant, name: AdapterName) {
+        self.started.entry(name).or_insert(now);
     }
 
-    /// A report shows what is loaded and what is on its way.
+    /// Updates loads in progress from a report and measures those that completed.
     pub fn on_report(
         &mut self,
         now: Instant,
-        held: impl Fn(&AdapterName) -> bool,
+        resident: impl Fn(&AdapterName) -> bool,
         pending: impl Fn(&AdapterName) -> bool,
     ) {
-        let begun = std::mem::take(&mut self.begun);
-        for (name, since) in begun {
-            if held(&name) {
-                if !self.had.contains(&name) {
-                    self.on_load(now, now.since(since));
+        let started = std::mem::take(&mut self.started);
+        for (name, since) in started {
+            if resident(&name) {
+                if !self.cached.contains(&name) {
+                    self.record_load(now, now.since(since));
                 }
-                self.had.insert(name);
+                self.cached.insert(name);
             } else if pending(&name) {
-                self.begun.insert(name, since);
+                self.started.insert(name, since);
             }
         }
     }
 
-    /// Whether the load of `name` may begin while `pending` are on their way.
-    pub fn may_begin(&self, now: Instant, name: &AdapterName, pending: usize) -> bool {
-        match self.had.contains(name) {
-            true => pending < TRANSIT as usize,
-            false => pending < self.most as usize && now >= self.free_at,
+    /// Whether the load of `name` may start while `pending` loads are in progress.
+    pub fn may_start(&self, now: Instant, name: &AdapterName, pending: usize) -> bool {
+        match self.cached.contains(name) {
+            true => pending < MAX_PENDING_LOADS as usize,
+            false => pending < self.max_pending as usize && now >= self.next_start,
         }
     }
 
-    /// Time of a load from the store.
-    pub fn time(&self, now: Instant) -> Span {
-        Span::from_millis_f64(self.faded(now))
+    /// Returns the expected duration of a load from the store.
+    pub fn load_time(&self, now: Instant) -> Span {
+        Span::from_millis_f64(self.current_load_ms(now))
     }
 
-    /// Time until `name` and the `ahead` loads before it have come.
-    pub fn wait(&self, now: Instant, name: &AdapterName, ahead: usize) -> Span {
-        if self.had.contains(name) {
-            return Span::from_millis(OWN as u64 / 2);
+    /// Returns the expected time until `name` is loaded after `ahead` other loads.
+    pub fn wait_time(&self, now: Instant, name: &AdapterName, ahead: usize) -> Span {
+        if self.cached.contains(name) {
+            return Span::from_millis(MAX_LOCAL_LOAD_MS as u64 / 2);
         }
-        // With none before it, it is worth a try whatever the last ones took:
-        // refusing all would leave slow loads the last that were measured.
-        let own = if ahead == 0 { LOAD } else { self.faded(now) };
-        let rounds = (ahead / self.most as usize) as f64;
-        let before = rounds * (self.faded(now) + self.pause);
-        self.free_at.since(now) + Span::from_millis_f64(before + own)
+        // A load with none ahead is assumed to run at full speed. If recent slow
+        // loads made this engine refuse all requests, it would never measure a
+        // faster one.
+        let own_ms = if ahead == 0 { FULL_SPEED_LOAD_MS } else { self.current_load_ms(now) };
+        let rounds = (ahead / self.max_pending as usize) as f64;
+        let before_ms = rounds * (self.current_load_ms(now) + self.pause_ms);
+        self.next_start.since(now) + Span::from_millis_f64(before_ms + own_ms)
     }
 
-    fn on_load(&mut self, now: Instant, took: Span) {
-        let took = took.as_millis_f64();
-        if took < OWN {
+    fn record_load(&mut self, now: Instant, took: Span) {
+        let took_ms = took.as_millis_f64();
+        if took_ms < MAX_LOCAL_LOAD_MS {
             return;
         }
-        let before = self.faded(now);
-        self.time = before + LOAD_WEIGHT * (took - before);
-        self.at = now;
-        if took > LOAD * SLOW {
-            self.most = 1;
-            self.pause = (self.pause + MORE * (took - LOAD)).min(PAUSE_MAX);
-        } else if took < LOAD * QUICK {
-            self.pause *= LESS;
-            if self.pause < PAUSE_MIN {
-                self.pause = 0.0;
-                self.most = (self.most + 1).min(TRANSIT);
+        let before_ms = self.current_load_ms(now);
+        self.load_ms = before_ms + SAMPLE_WEIGHT * (took_ms - before_ms);
+        self.measured_at = now;
+        if took_ms > FULL_SPEED_LOAD_MS * SLOW_LOAD_RATIO {
+            self.max_pending = 1;
+            self.pause_ms = (self.pause_ms + PAUSE_GROWTH_SHARE * (took_ms - FULL_SPEED_LOAD_MS))
+                .min(MAX_PAUSE_MS);
+        } else if took_ms < FULL_SPEED_LOAD_MS * FAST_LOAD_RATIO {
+            self.pause_ms *= PAUSE_DECAY_FACTOR;
+            if self.pause_ms < MIN_PAUSE_MS {
+                self.pause_ms = 0.0;
+                self.max_pending = (self.max_pending + 1).min(MAX_PENDING_LOADS);
             }
         }
-        self.free_at = now + Span::from_millis_f64(self.pause);
+        self.next_start = now + Span::from_millis_f64(self.pause_ms);
     }
 
-    /// A slow load says little of the next one some seconds later.
-    fn faded(&self, now: Instant) -> f64 {
-        let age = now.since(self.at).as_secs_f64();
-        LOAD + (self.time - LOAD) * (-age / FORGET).exp2()
+    /// Returns the expected milliseconds of a load from the store. A slow load says
+    /// little about another one some seconds later, so its effect decays.
+    fn current_load_ms(&self, now: Instant) -> f64 {
+        let age = now.since(self.measured_at).as_secs_f64();
+        FULL_SPEED_LOAD_MS
+            + (self.load_ms - FULL_SPEED_LOAD_MS) * (-age / SLOWDOWN_HALF_LIFE_SECS).exp2()
     }
 }
--- a/kingcupbay_core/src/admission/mod.rs
+++ b/kingcupbay_core/src/admission/mod.rs
@@ -1,18 +1,21 @@
-//! Which requests one model engine takes and when, and which adapters it holds.
+//! Admission control and adapter placement for one model engine.
 //!
-//! The daemon beside an engine is the only one that orders it about, and every
-//! request asks it for a place first. So places, memory and adapters need no
-//! agreement between hosts. [`estimate`] says who is taken in and how long that
-//! one will wait; [`queue`] keeps what waits and [`running`] what was let through;
-//! [`orders`] decides what the engine loads. [`order`] and [`report`] are what the
-//! engine is told and tells, [`load_report`] what entries are; [`speed`], [`prefill`] and
-//! [`loads`] learn how fast it is.
+//! The sidecar, the daemon beside an engine, is the only one that sends it orders,
+//! and every request asks the sidecar for a permit first. Permits, memory and
+//! adapters therefore need no agreement between hosts.
 //!
-//! An engine reads prompts between the tokens of running requests. What is
-//! sent to it beyond what it reads within a pause of their streams ([`prefill`])
-//! makes those streams late, and can be neither overtaken by something more
-//! urgent nor refused any more. So it waits here: the most urgent first, those
-//! that would be late anyway behind those that can still be on time.
+//! [`estimate`] decides whether a request is accepted and predicts how long it
+//! waits. [`queue`] holds the waiting requests and [`running`] those with a permit.
+//! [`orders`] decides what the engine loads and unloads. [`order`] and [`report`]
+//! define the messages to and from the engine, [`load_report`] the updates to
+//! entries. [`speed`], [`prefill`] and [`loads`] learn how fast the engine is.
+//!
+//! An engine prefills prompts between the tokens of running requests. Prompts
+//! sent beyond what it can prefill within the event gap of the running streams
+//! ([`prefill`]) delay those streams, and once sent they can be neither overtaken
+//! by a more urgent request nor refused. They wait here instead: requests that can
+//! still meet their latency target go before those that cannot, and within each
+//! group the most urgent goes first.
 
 mod estimate;
 pub mod load_report;
@@ -43,194 +46,197 @@
     speed::Speed,
 };
 
-/// When to come back to an engine without its base model: it is loaded from the
-/// engine's own disk, and then an adapter from the store.
-const BASE: Span = Span::from_millis(1_800);
+/// Retry delay of a request refused because the base model is not loaded. It covers
+/// a load of the model from the engine's own disk and then of an adapter from the
+/// weight store.
+const BASE_MODEL_RETRY: Span = Span::from_millis(1_800);
 
-/// Shortest time to come back: one report later.
-const RETRY_MIN: Span = Span::from_millis(200);
+/// Shortest retry delay: the longest interval between two reports.
+const MIN_RETRY: Span = Span::from_millis(200);
 
-/// Part of the engine's memory that is given out, in percent: the engine
-/// rounds each request up to whole blocks.
-const MEMORY_PART: u64 = 95;
+/// Percentage of the engine's memory that permits may reserve. The rest is left for
+/// the engine's rounding of each request up to whole blocks.
+const USABLE_MEMORY_PERCENT: u64 = 95;
 
-/// Key of a request that asked for a place.
+/// Identifies a permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// What the shell has to do.
+/// A side effect for the caller of [`Admission`] to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Tell the entry.
+    /// Send the verdict on a permit request to the entry.
     Answer(Ticket, Verdict),
-    /// Give the engine an order and say what it replied.
+    /// Send an order to the engine and pass its reply to [`Admission::on_reply`].
     Order(Order),
 }
 
-/// One engine's places, memory, adapters and queue.
+/// Admission state of one engine: permits, memory, adapters and queue.
 #[derive(Debug)]
 pub struct Admission {
     holder: String,
     spec: Engine,
-    /// Known once the store was read; no order is given without it.
+    /// Known once the store was read; no order is sent without it.
     fencing: Option<u64>,
     /// Newest announced versions.
-    newest: BTreeMap<AdapterName, u32>,
-    /// The youngest report; `None` while the engine does not answer.
+    newest_versions: BTreeMap<AdapterName, u32>,
+    /// The latest report; `None` while the engine does not answer.
     report: Option<Report>,
-    reported: Instant,
-    /// Orders that the last report counted, also while the engine does not answer.
-    counted: u64,
+    reported_at: Instant,
+    /// Order count of the latest report, kept while the engine does not answer.
+    order_count: u64,
     queue: Queue,
     running: Running,
-    recent: RecentGrants,
-    learned: PrefillScale,
-    pace: Speed,
+    recent_grants: RecentGrants,
+    prefill_scale: PrefillScale,
+    speed: Speed,
     loads: LoadLimiter,
-    orders: orders::Orders,
+    orders: orders::OrderPlanner,
 }
 
 impl Admission {
-    /// Places of an engine that `holder` orders about.
+    /// Creates the state of an engine that gets its orders from the host `holder`.
     pub fn new(holder: &str) -> Admission {
         Admission {
             holder: holder.to_owned(),
             spec: Engine::default(),
             fencing: None,
-            newest: BTreeMap::new(),
+            newest_versions: BTreeMap::new(),
             report: None,
-            reported: Instant::default(),
-            counted: 0,
+            reported_at: Instant::default(),
+            order_count: 0,
             queue: Queue::default(),
             running: Running::default(),
-            recent: RecentGrants::default(),
-            learned: PrefillScale::default(),
-            pace: Speed::default(),
+            recent_grants: RecentGrants::default(),
+            prefill_scale: PrefillScale::default(),
+            speed: Speed::default(),
             loads: LoadLimiter::default(),
-            orders: orders::Orders::default(),
+            orders: orders::OrderPlanner::default(),
         }
     }
 
-    /// Takes what the operator declares of the engine.
+    /// Applies the operator's specification of the engine.
     pub fn on_spec(&mut self, spec: Engine) {
         self.spec = spec;
     }
 
-    /// Takes the fencing number; it never goes back.
+    /// Raises the fencing number to `number`; a lower one is ignored.
     pub fn on_fencing(&mut self, number: u64) {
         self.fencing = Some(self.fencing.unwrap_or_default().max(number));
     }
 
-    /// Takes an announced version.
+    /// Records an announced version of an adapter.
     pub fn on_version(&mut self, name: AdapterName, version: u32) {
-        let known = self.newest.entry(name).or_default();
+        let known = self.newest_versions.entry(name).or_default();
         *known = version.max(*known);
     }
 
-    /// Takes a request in.
+    /// Queues a permit request, or refuses it at once.
     pub fn on_permit_request(&mut self, now: Instant, ticket: Ticket, want: Want) -> Vec<Action> {
         if let Some(newest) = want.newest {
             self.on_version(want.name.clone(), newest);
         }
-        if let Some(refusal) = self.closed(&want) {
-            let after = if refusal == Refusal::Unready { BASE } else { RETRY_MIN };
+        if let Some(refusal) = self.refusal_reason(&want) {
+            let after = if refusal == Refusal::Unready { BASE_MODEL_RETRY } else { MIN_RETRY };
             return vec![refuse(ticket, refusal, after)];
         }
-        let estimate = self.estimate(now, &want);
+        let estimate = self.estimate_wait(now, &want);
         if estimate > want.patience {
-            // When the queue of now is served, not when it would be short enough to
-            // take this one in: all who are refused come back by then, and most
-            // callers come back once only.
-            let after = estimate.max(RETRY_MIN);
+            // The delay is the time to serve the whole current queue. A shorter
+            // one would bring all refused callers back together, and most
+            // callers retry only once.
+            let after = estimate.max(MIN_RETRY);
             return vec![refuse(ticket, Refusal::Busy, after)];
         }
         self.orders.on_use(now, &want.name);
         self.queue.push(Waiter::new(now, ticket, want));
-        self.pump(now)
+        self.schedule(now)
     }
 
-    /// LoadLimiter an adapter whose other engines are busy.
+    /// Requests a replica of an adapter whose other engines are busy.
     pub fn on_replica_request(&mut self, now: Instant, name: AdapterName) -> Vec<Action> {
         self.orders.on_replica_request(now, name);
-        self.pump(now)
+        self.schedule(now)
     }
 
-    /// Takes back a request whose entry does not wait any more.
+    /// Removes a request whose entry has stopped waiting for a permit.
     pub fn on_cancel(&mut self, now: Instant, ticket: Ticket) -> Vec<Action> {
         self.queue.remove(ticket);
-        self.pump(now)
+        self.schedule(now)
     }
 
-    /// A request's stream has come whole, with `pause` as its longest.
+    /// Records the longest pause between two events of a stream that ended normally.
     pub fn on_stream_complete(&mut self, attempt: &str, pause: Span) {
-        if let Some(gap) = self.running.held_gap(attempt) {
-            self.learned.on_stream_complete(pause, gap.unwrap_or(estimate::GAP));
+        if let Some(gap) = self.running.delayed_gap(attempt) {
+            self.prefill_scale
+                .on_stream_complete(pause, gap.unwrap_or(estimate::DEFAULT_EVENT_GAP));
         }
     }
 
-    /// A request has ended, or its place will not be used.
+    /// Releases the permit of a request that has ended or will not be sent.
     pub fn on_request_end(&mut self, now: Instant, attempt: &str) -> Vec<Action> {
-        if let Some(name) = self.running.on_end(attempt) {
+        if let Some(name) = self.running.on_request_end(attempt) {
             self.orders.on_use(now, &name);
-            self.pace.on_end(now, self.running.len());
+            self.speed.on_request_end(now, self.running.len());
         }
-        self.pump(now)
+        self.schedule(now)
     }
 
-    /// Takes a report.
+    /// Applies a report of the engine.
     pub fn on_report(&mut self, now: Instant, report: Report) -> Vec<Action> {
-        // An engine that crashes is silent first, so there may be no report to
-        // compare with. Taken for the one from before, it was thought to keep
-        // copies of what it had held, and late orders filled it beyond its places.
-        if report.orders < self.counted {
-            // It restarted: nothing of what ran is there any more.
+        // The order count restarts with the engine. It is kept separately because
+        // a crashing engine stops answering first, so there may be no previous
+        // report. A missed restart would leave adapters marked as still cached, and
+        // late orders would fill the engine beyond its adapter slots.
+        if report.orders < self.order_count {
+            // The engine restarted and lost its running requests.
             self.running.clear();
             self.orders.on_restart(now);
             self.loads.on_restart();
         }
-        self.counted = report.orders;
-        let passed = now.since(self.reported);
-        self.running.on_report(now, passed, &report, &mut self.pace);
+        self.order_count = report.orders;
+        let elapsed = now.since(self.reported_at);
+        self.running.on_report(now, elapsed, &report, &mut self.speed);
         self.orders.on_report();
-        let held = |name: &AdapterName| report.version(name).is_some();
-        self.loads.on_report(now, held, |name| report.is_pending(name));
+        let resident = |name: &AdapterName| report.version(name).is_some();
+        self.loads.on_report(now, resident, |name| report.is_pending(name));
         self.report = Some(report);
-        self.reported = now;
-        self.pump(now)
+        self.reported_at = now;
+        self.schedule(now)
     }
 
-    /// The engine did not answer when asked for a report.
+    /// Handles an engine that did not answer a report request.
     pub fn on_report_failure(&mut self, now: Instant) -> Vec<Action> {
         self.report = None;
-        self.pump(now)
+        self.schedule(now)
     }
 
-    /// Takes the engine's reply to the order in flight.
+    /// Applies the engine's reply to the order in flight.
     pub fn on_reply(&mut self, now: Instant, reply: Reply) {
-        if let Some(begun) = self.orders.on_reply(now, reply) {
-            self.loads.on_begin(now, begun);
+        if let Some(started) = self.orders.on_reply(now, reply) {
+            self.loads.on_load_start(now, started);
         }
     }
 
-    /// Time has passed.
+    /// Handles timeouts; called periodically.
     pub fn on_tick(&mut self, now: Instant) -> Vec<Action> {
-        self.pump(now)
+        self.schedule(now)
     }
 
-    /// Time until the next report is of use.
+    /// Returns the time from one report request to the next.
     pub fn report_interval(&self) -> Span {
-        /// An order was answered: what it did decides about the next.
+        /// An order was answered, and the next one depends on its effect.
         const AFTER_ORDER: Span = Span::from_micros(500);
-        /// Somebody waits for a load, which takes 25 ms at best.
+        /// A request waits for a load, which takes at least 25 ms.
         const LOADING: Span = Span::from_millis(10);
-        /// Somebody waits for prompts to be read, one to each step of 10 ms.
+        /// A request waits for prefill, which takes one 10 ms step per prompt.
         const WAITING: Span = Span::from_millis(20);
-        /// Requests run; their first events free the window.
+        /// Requests run, and their first events free prefill capacity.
         const RUNNING: Span = Span::from_millis(60);
-        /// Nothing runs; the engine may have restarted or be leaving.
+        /// Nothing runs, but the engine may have restarted or be leaving.
         const IDLE: Span = Span::from_millis(200);
         let pending = self.report.as_ref().is_some_and(|report| !report.pending.is_empty());
-        if self.orders.unsettled() {
+        if self.orders.needs_report() {
             AFTER_ORDER
         } else if pending && !self.queue.is_empty() {
             LOADING
@@ -243,14 +249,14 @@
         }
     }
 
-    /// What entries are told.
+    /// Returns the load report for entries, with the resident adapters.
     pub fn load_report(&self) -> Pressure {
         Pressure {
             engine: None,
             running: self.running.len() as u32,
             waiting: self.queue.len() as u32,
             slots: self.spec.slots,
-            delay: self.reading(self.running.unread() + self.queue.tokens()),
+            delay: self.prefill_wait(self.running.unread_tokens() + self.queue.prompt_tokens()),
             open: self.report.as_ref().is_some_and(|report| !report.leaving),
             held: Some(
                 self.report.as_ref().map_or_else(Vec::new, |report| report.resident.clone()),
@@ -258,120 +264,121 @@
         }
     }
 
-    /// One line for a dump.
+    /// Formats the state as one line of a dump.
     pub fn dump(&self) -> String {
         format!(
             "running={} waiting={} unread={} pace={:.1} event_ms={} learned={:.2} report={} \
              fencing={:?}\n",
             self.running.len(),
             self.queue.len(),
-            self.running.unread(),
-            self.pace.tokens(),
-            self.pace.event().as_millis(),
-            self.learned.part(),
+            self.running.unread_tokens(),
+            self.speed.prefill_rate(),
+            self.speed.event_interval().as_millis(),
+            self.prefill_scale.factor(),
             self.report.is_some(),
             self.fencing,
         )
     }
 
-    /// Starts what may start, refuses what has no prospect, and orders what
-    /// is missing.
-    fn pump(&mut self, now: Instant) -> Vec<Action> {
+    /// Refuses expired and unservable requests, grants permits, and plans the next
+    /// order.
+    fn schedule(&mut self, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         for waiter in self.queue.expire(now) {
-            let after = self.estimate(now, &waiter.want).max(RETRY_MIN);
+            let after = self.estimate_wait(now, &waiter.want).max(MIN_RETRY);
             actions.push(refuse(waiter.ticket, Refusal::Busy, after));
         }
-        self.refuse_hopeless(&mut actions);
-        let order = self.order(now);
-        self.start(now, &order, &mut actions);
+        self.refuse_unservable(&mut actions);
+        let order = self.grant_order(now);
+        self.grant_permits(now, &order, &mut actions);
         let Some(report) = &self.report else { return actions };
         let Some(fencing) = self.fencing else { return actions };
-        let used: Vec<&AdapterName> = self.running.names().collect();
-        let view = orders::View {
+        let used: Vec<&AdapterName> = self.running.adapters().collect();
+        let input = orders::PlanInput {
             spec: &self.spec,
             report,
-            newest: &self.newest,
+            newest: &self.newest_versions,
             used: &used,
-            wanted: &self.queue.names(&order),
+            wanted: &self.queue.load_order(&order),
             loads: &self.loads,
         };
-        if let Some((name, target)) = self.orders.plan(now, &view) {
+        if let Some((name, target)) = self.orders.plan(now, &input) {
             let (holder, after) = (self.holder.clone(), Some(report.orders));
             actions.push(Action::Order(Order { name, target, after, holder, fencing }));
         }
         actions
     }
 
-    /// Refuses those that wait for an engine that went away or is leaving:
-    /// another may still serve them in time.
-    fn refuse_hopeless(&mut self, actions: &mut Vec<Action>) {
+    /// Refuses all waiting requests if the engine is gone or leaving, as another
+    /// engine may still serve them in time.
+    fn refuse_unservable(&mut self, actions: &mut Vec<Action>) {
         let why = match &self.report {
             None => Refusal::Unready,
             Some(report) if report.leaving => Refusal::Leaving,
             Some(_) => return,
         };
         for waiter in self.queue.clear() {
-            actions.push(refuse(waiter.ticket, why, RETRY_MIN));
+            actions.push(refuse(waiter.ticket, why, MIN_RETRY));
         }
     }
 
-    /// Waiting requests in their turns. One whose adapter is missing has a load
-    /// before it.
-    fn order(&self, now: Instant) -> Vec<Ticket> {
-        self.queue.order(now, |name| {
-            let held = self.report.as_ref().is_some_and(|report| report.version(name).is_some());
-            if held { Span::ZERO } else { self.loads.wait(now, name, 0) }
+    /// Returns the waiting requests in the order in which they get permits. One
+    /// whose adapter is not loaded has to wait for the load first.
+    fn grant_order(&self, now: Instant) -> Vec<Ticket> {
+        self.queue.grant_order(now, |name| {
+            let resident =
+                self.report.as_ref().is_some_and(|report| report.version(name).is_some());
+            if resident { Span::ZERO } else { self.loads.wait_time(now, name, 0) }
         })
     }
 
-    fn start(&mut self, now: Instant, order: &[Ticket], actions: &mut Vec<Action>) {
+    fn grant_permits(&mut self, now: Instant, order: &[Ticket], actions: &mut Vec<Action>) {
         let Some(report) = &self.report else { return };
-        let memory = self.memory(report);
-        let limit = self.limit();
-        self.recent.forget(now, self.gap());
-        let mut kept = self.running.kept();
-        let mut places = (self.spec.slots as usize).saturating_sub(self.running.len());
+        let memory = self.usable_memory(report);
+        let limit = self.prefill_limit();
+        self.recent_grants.expire(now, self.event_gap());
+        let mut reserved = self.running.reserved_tokens();
+        let mut free_slots = (self.spec.slots as usize).saturating_sub(self.running.len());
         for &ticket in order {
-            if places == 0 {
+            if free_slots == 0 {
                 return;
             }
             let Some(waiter) = self.queue.get(ticket) else { continue };
             let want = &waiter.want;
-            let Some(held) = report.version(&want.name) else { continue };
-            if self.newest.get(&want.name).is_some_and(|&newest| held < newest) {
+            let Some(version) = report.version(&want.name) else { continue };
+            if self.newest_versions.get(&want.name).is_some_and(|&newest| version < newest) {
                 continue;
             }
-            // Smaller ones behind do not pass, or a large one would never run.
-            let unread = self.running.unread();
-            if kept + want.size.total() > memory {
+            // Smaller requests do not overtake a large one, which would starve it.
+            let unread = self.running.unread_tokens();
+            if reserved + want.size.total() > memory {
                 return;
             }
-            if !self.recent.fits(limit, unread, want.size.prompt) {
-                self.running.on_held();
+            if !self.recent_grants.fits(limit, unread, want.size.prompt) {
+                self.running.on_prefill_delayed();
                 return;
             }
-            let version = want.name.adapter.is_some().then_some(held);
-            places -= 1;
-            kept += want.size.total();
-            self.recent.on_grant(now, want.size.prompt);
+            let version = want.name.adapter.is_some().then_some(version);
+            free_slots -= 1;
+            reserved += want.size.total();
+            self.recent_grants.on_grant(now, want.size.prompt);
             self.running.on_grant(now, want);
             self.queue.remove(ticket);
             actions.push(Action::Answer(ticket, Verdict::Granted { version }));
         }
     }
 
-    fn memory(&self, report: &Report) -> u64 {
+    fn usable_memory(&self, report: &Report) -> u64 {
         let memory = if report.memory > 0 { report.memory } else { self.spec.memory };
-        memory * MEMORY_PART / 100
+        memory * USABLE_MEMORY_PERCENT / 100
     }
 
-    fn is_old(&self, name: &AdapterName, held: u32) -> bool {
-        self.newest.get(name).is_some_and(|&newest| held < newest)
+    fn is_outdated(&self, name: &AdapterName, version: u32) -> bool {
+        self.newest_versions.get(name).is_some_and(|&newest| version < newest)
     }
 
     fn is_used(&self, name: &AdapterName) -> bool {
-        self.running.names().any(|used| used == name)
+        self.running.adapters().any(|used| used == name)
     }
 }
 
--- a/kingcupbay_core/src/admission/order.rs
+++ b/kingcupbay_core/src/admission/order.rs
@@ -1,55 +1,55 @@
-//! Orders to an engine.
+//! Orders that a sidecar sends to its engine, and the replies.
 
 use crate::deployment::model::AdapterName;
 
-/// An order about a base model or an adapter.
+/// An order to load or unload a base model or an adapter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// The base model or adapter.
     pub name: AdapterName,
-    /// What is to become of it.
+    /// The state to reach.
     pub target: Target,
-    /// Orders that the engine must have accepted before this one. An order
-    /// whose answer was lost may be carried out seconds later; the newer
-    /// orders in between then make it void.
+    /// Number of orders that the engine must have accepted before this one. An order
+    /// without a reply may be carried out seconds later, unless newer orders in
+    /// between have raised the count.
     pub after: Option<u64>,
-    /// The host that orders.
+    /// The host that sends the order.
     pub holder: String,
-    /// Its fencing number.
+    /// The host's fencing number.
     pub fencing: u64,
 }
 
-/// What an [`Order`] is to achieve.
+/// The state that an [`Order`] is to reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// It is loaded, in this version or the newest.
+    /// Loaded.
     Load {
-        /// The version; `None` takes the newest.
+        /// The version to load; `None` stands for the newest.
         version: Option<u32>,
     },
-    /// It is not loaded.
+    /// Not loaded.
     Unload,
 }
 
-/// What an engine answered to an order.
+/// An engine's reply to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// It was so already, or is so now.
+    /// The target state is already reached.
     Holds,
-    /// It is being carried out.
+    /// The order was accepted and is in progress.
     Accepted,
-    /// Another order is in progress, or the engine has accepted others since.
+    /// Another order is in progress, or the order count no longer matches.
     Busy,
-    /// A newer fencing number is known.
+    /// The engine has seen a newer fencing number.
     Fenced,
-    /// The engine cannot do it.
+    /// The engine cannot carry out the order.
     Refused,
-    /// No answer: it may or may not be carried out, perhaps later.
+    /// No reply: the order may be carried out, possibly later, or not at all.
     Unknown,
 }
 
 impl Reply {
-    /// For logs.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Reply::Holds => "holds",
--- a/kingcupbay_core/src/admission/orders.rs
+++ b/kingcupbay_core/src/admission/orders.rs
@@ -1,12 +1,12 @@
-//! Which order an engine gets next.
+//! Decides which order the engine gets next.
 //!
-//! One order is in flight at a time, and after its reply a fresh report comes
-//! before the next: the report alone says what the engine holds, so no state
-//! of an order is kept that a lost answer could falsify.
+//! One order is in flight at a time, and the next one waits for a report made after
+//! the reply. Only reports say what the engine holds, so a lost reply cannot make
+//! the recorded state wrong.
 //!
-//! An older version of an adapter is unloaded and the newer one loaded, instead
-//! of replaced in one order: a replacement keeps the engine from taking any
-//! other order for as long as it lasts.
+//! To update an adapter, the older version is unloaded and the newer one loaded.
+//! A single replacing order would keep the engine from accepting any other order
+//! until it completes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,115 +21,114 @@
     report::Report,
 };
 
-/// An adapter whose older version was used this lately is loaded in the newer
-/// one before anybody asks for it, so that nobody waits for the load.
-const RECENT: Span = Span::from_secs(10);
+/// An adapter that was used this recently before its older version was unloaded is
+/// reloaded in the newer version ahead of demand, so that no request waits for it.
+const RECENT_USE: Span = Span::from_secs(10);
 
-/// How long a copy is of use that an entry asked for; one that is still needed is
-/// asked for again.
-const COPY: Span = Span::from_secs(2);
+/// Lifetime of a replica request. Entries repeat a request that is still needed.
+const REPLICA_REQUEST_TTL: Span = Span::from_secs(2);
 
-/// Pause before an order that the engine refused is tried again.
-const REFUSED: Span = Span::from_secs(1);
+/// Delay before an order that the engine refused is sent again.
+const REFUSED_ORDER_BACKOFF: Span = Span::from_secs(1);
 
-/// An order without an answer may still be carried out this much later. The
-/// platform says "seconds"; the latest that was seen came after 12.
-const LATE: Span = Span::from_secs(20);
+/// Longest time after which the engine may still carry out an unanswered load. The
+/// platform says "seconds"; delays up to 12 s were observed.
+const LATE_LOAD_TIMEOUT: Span = Span::from_secs(20);
 
-/// Orders load the newest version there is.
-const LOAD: Target = Target::Load { version: None };
+/// Target of all load orders: the newest version.
+const LOAD_NEWEST: Target = Target::Load { version: None };
 
-/// What an order is decided from.
-pub(super) struct View<'a> {
+/// State that the next order is planned from.
+pub(super) struct PlanInput<'a> {
     pub(super) spec: &'a Engine,
     pub(super) report: &'a Report,
     pub(super) newest: &'a BTreeMap<AdapterName, u32>,
-    /// Adapters of running requests.
+    /// Adapters used by running requests.
     pub(super) used: &'a [&'a AdapterName],
-    /// Adapters that requests wait for, in the order of their turns.
+    /// Adapters that queued requests wait for, in the order in which to load them.
     pub(super) wanted: &'a [AdapterName],
     pub(super) loads: &'a LoadLimiter,
 }
 
-/// The order in flight.
+/// State of the order in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Flight {
-    /// No order, or a report has shown what became of the last.
+enum InFlight {
+    /// No order, or a report has shown the effect of the last one.
     None,
-    /// The engine has not replied.
+    /// The engine has not replied yet.
     Sent {
         name: AdapterName,
         target: Target,
-        /// Orders that the engine had accepted before.
+        /// The engine's order count when the order was sent.
         after: u64,
     },
-    /// It has; a report is due.
+    /// The engine has replied; the next report shows the effect.
     Replied,
 }
 
-/// A load that was never answered.
+/// A load order that got no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Unanswered {
-    /// Orders that the engine must have accepted before it.
+struct UnansweredLoad {
+    /// Order count at which the engine carries it out.
     after: u64,
-    sent: Instant,
+    sent_at: Instant,
 }
 
-/// What was ordered, used and refused lately.
+/// Plans orders from recent orders, uses and refusals.
 #[derive(Debug)]
-pub(super) struct Orders {
-    flight: Flight,
-    /// When an adapter was last asked for or run.
-    uses: BTreeMap<AdapterName, Instant>,
-    /// Until when an order that the engine refused is not repeated.
-    refused: BTreeMap<AdapterName, Instant>,
-    /// Copies that entries asked for, and when.
-    copies: BTreeMap<AdapterName, Instant>,
-    /// Older versions of these were unloaded; the newer ones are due.
-    renewed: BTreeSet<AdapterName>,
-    /// LoadLimiter without an answer since the engine started.
-    unanswered: Vec<Unanswered>,
-    /// Those from before it did.
-    stray: Vec<Unanswered>,
+pub(super) struct OrderPlanner {
+    in_flight: InFlight,
+    /// When each adapter was last requested or run.
+    last_used: BTreeMap<AdapterName, Instant>,
+    /// Earliest time at which an order that the engine refused may be sent again.
+    retry_after: BTreeMap<AdapterName, Instant>,
+    /// Replicas requested by entries, with the time of the request.
+    replica_requests: BTreeMap<AdapterName, Instant>,
+    /// Adapters whose older version was unloaded and whose newer one is to be loaded.
+    updates: BTreeSet<AdapterName>,
+    /// Loads without a reply since the engine started.
+    unanswered: Vec<UnansweredLoad>,
+    /// Loads without a reply from before the engine's last restart.
+    before_restart: Vec<UnansweredLoad>,
 }
 
-impl Default for Orders {
-    fn default() -> Orders {
-        Orders {
-            flight: Flight::None,
-            uses: BTreeMap::new(),
-            refused: BTreeMap::new(),
-            copies: BTreeMap::new(),
-            renewed: BTreeSet::new(),
+impl Default for OrderPlanner {
+    fn default() -> OrderPlanner {
+        OrderPlanner {
+            in_flight: InFlight::None,
+            last_used: BTreeMap::new(),
+            retry_after: BTreeMap::new(),
+            replica_requests: BTreeMap::new(),
+            updates: BTreeSet::new(),
             unanswered: Vec::new(),
-            stray: Vec::new(),
+            before_restart: Vec::new(),
         }
     }
 }
 
-impl Orders {
+impl OrderPlanner {
     pub(super) fn on_use(&mut self, now: Instant, name: &AdapterName) {
-        self.uses.insert(name.clone(), now);
+        self.last_used.insert(name.clone(), now);
     }
 
-    /// An entry asks for a copy. It counts as used, or it would be the first to
-    /// make room again.
+    /// Records an entry's request for a replica. It counts as a use, or the replica
+    /// would be the first adapter to be evicted.
     pub(super) fn on_replica_request(&mut self, now: Instant, name: AdapterName) {
-        self.uses.insert(name.clone(), now);
-        self.copies.insert(name, now);
+        self.last_used.insert(name.clone(), now);
+        self.replica_requests.insert(name, now);
     }
 
-    /// Takes the engine's reply; gives the name whose load has begun.
+    /// Applies the engine's reply; returns the adapter whose load has started.
     pub(super) fn on_reply(&mut self, now: Instant, reply: Reply) -> Option<AdapterName> {
-        let before = std::mem::replace(&mut self.flight, Flight::Replied);
-        let Flight::Sent { name, target, after } = before else { return None };
+        let previous = std::mem::replace(&mut self.in_flight, InFlight::Replied);
+        let InFlight::Sent { name, target, after } = previous else { return None };
         match (reply, target) {
             (Reply::Unknown, Target::Load { .. }) => {
-                self.unanswered.push(Unanswered { after, sent: now });
+                self.unanswered.push(UnansweredLoad { after, sent_at: now });
                 None
             }
             (Reply::Refused | Reply::Fenced, _) => {
-                self.refused.insert(name, now + REFUSED);
+                self.retry_after.insert(name, now + REFUSED_ORDER_BACKOFF);
                 None
             }
             (Reply::Accepted, Target::Load { .. }) => Some(name),
@@ -138,123 +137,140 @@
     }
 
     pub(super) fn on_report(&mut self) {
-        if self.flight == Flight::Replied {
-            self.flight = Flight::None;
+        if self.in_flight == InFlight::Replied {
+            self.in_flight = InFlight::None;
         }
     }
 
-    /// The engine came back empty and counts its orders anew; adapters are loaded
-    /// again as they are asked for. Its counts hold late orders back no more: one
-    /// from before is carried out when the count happens to be the one that it
-    /// names.
+    /// Handles a restart: the engine is empty and its order count starts again.
+    /// Adapters are reloaded on demand. The order count no longer rejects late
+    /// orders for good: an order from before the restart is carried out if the count
+    /// reaches the value that it names.
     pub(super) fn on_restart(&mut self, now: Instant) {
-        self.renewed.clear();
-        self.copies.clear();
-        if let Flight::Sent { target: Target::Load { .. }, after, .. } = self.flight {
-            self.stray.push(Unanswered { after, sent: now });
+        self.updates.clear();
+        self.replica_requests.clear();
+        if let InFlight::Sent { target: Target::Load { .. }, after, .. } = self.in_flight {
+            self.before_restart.push(UnansweredLoad { after, sent_at: now });
         }
-        self.stray.append(&mut self.unanswered);
+        self.before_restart.append(&mut self.unanswered);
     }
 
-    /// Places that late loads from before a restart may still take, each of which
-    /// can be carried out at one count of orders only. Without them such a load
-    /// filled an engine beyond its places, and it crashed.
-    fn kept_free(&mut self, now: Instant, orders: u64) -> usize {
-        let may_come = |load: &Unanswered| now.since(load.sent) < LATE && load.after >= orders;
-        self.stray.retain(may_come);
-        self.unanswered.retain(may_come);
-        self.stray.iter().map(|load| load.after).collect::<BTreeSet<u64>>().len()
+    /// Returns the adapter slots to keep free for late loads from before a restart.
+    /// Loads that name the same order count need one slot, as only one of them can
+    /// be carried out. Without the reserve, a late load would overfill the engine,
+    /// which then crashes.
+    fn reserved_slots(&mut self, now: Instant, orders: u64) -> usize {
+        let may_run_late = |load: &UnansweredLoad| {
+            now.since(load.sent_at) < LATE_LOAD_TIMEOUT && load.after >= orders
+        };
+        self.before_restart.retain(may_run_late);
+        self.unanswered.retain(may_run_late);
+        self.before_restart.iter().map(|load| load.after).collect::<BTreeSet<u64>>().len()
     }
 
-    /// Whether a reply has come and no report since.
-    pub(super) fn unsettled(&self) -> bool {
-        self.flight == Flight::Replied
+    /// Whether the engine has replied and no report has come since.
+    pub(super) fn needs_report(&self) -> bool {
+        self.in_flight == InFlight::Replied
     }
 
-    /// The next order, if one is due.
-    pub(super) fn plan(&mut self, now: Instant, view: &View<'_>) -> Option<(AdapterName, Target)> {
-        if self.flight != Flight::None || view.report.leaving || view.report.busy {
+    /// Returns the next order, if one is due.
+    pub(super) fn plan(
+        &mut self,
+        now: Instant,
+        input: &PlanInput<'_>,
+    ) -> Option<(AdapterName, Target)> {
+        if self.in_flight != InFlight::None || input.report.leaving || input.report.busy {
             return None;
         }
-        self.refused.retain(|_, until| *until > now);
-        let held = |name: &AdapterName| view.report.version(name).is_some();
-        self.renewed.retain(|name| !held(name) && !view.report.is_pending(name));
-        self.copies.retain(|name, asked| {
-            !held(name) && !view.report.is_pending(name) && now.since(*asked) < COPY
+        self.retry_after.retain(|_, until| *until > now);
+        let resident = |name: &AdapterName| input.report.version(name).is_some();
+        self.updates.retain(|name| !resident(name) && !input.report.is_pending(name));
+        self.replica_requests.retain(|name, requested_at| {
+            !resident(name)
+                && !input.report.is_pending(name)
+                && now.since(*requested_at) < REPLICA_REQUEST_TTL
         });
-        let kept = self.kept_free(now, view.report.orders);
+        let reserved = self.reserved_slots(now, input.report.orders);
         let (name, target) = self
-            .base(view)
-            .or_else(|| self.outdated(now, view))
-            .or_else(|| self.missing(now, view, kept))?;
-        self.flight = Flight::Sent { name: name.clone(), target, after: view.report.orders };
+            .load_base_model(input)
+            .or_else(|| self.unload_outdated(now, input))
+            .or_else(|| self.load_missing(now, input, reserved))?;
+        self.in_flight = InFlight::Sent { name: name.clone(), target, after: input.report.orders };
         Some((name, target))
     }
 
-    /// A restarted engine comes back without its base model.
-    fn base(&self, view: &View<'_>) -> Option<(AdapterName, Target)> {
-        if !view.report.resident.is_empty() {
+    /// Loads the base model, which an engine loses when it restarts.
+    fn load_base_model(&self, input: &PlanInput<'_>) -> Option<(AdapterName, Target)> {
+        if !input.report.resident.is_empty() {
             return None;
         }
-        let fits = |mb: f64| view.spec.weights_mb <= 0.0 || mb <= view.spec.weights_mb;
-        let (model, _) = view.spec.models.iter().find(|(_, model)| fits(model.weights_mb))?;
+        let fits = |mb: f64| input.spec.weights_mb <= 0.0 || mb <= input.spec.weights_mb;
+        let (model, _) = input.spec.models.iter().find(|(_, model)| fits(model.weights_mb))?;
         let name = AdapterName { model: model.clone(), adapter: None };
-        self.allowed(&name).then_some((name, LOAD))
+        self.may_order(&name).then_some((name, LOAD_NEWEST))
     }
 
-    /// An older version that nobody uses any more.
-    fn outdated(&mut self, now: Instant, view: &View<'_>) -> Option<(AdapterName, Target)> {
-        let old = |name: &AdapterName, held: u32| {
-            view.newest.get(name).is_some_and(|&newest| held < newest)
+    /// Unloads an outdated version that no running request uses.
+    fn unload_outdated(
+        &mut self,
+        now: Instant,
+        input: &PlanInput<'_>,
+    ) -> Option<(AdapterName, Target)> {
+        let outdated = |name: &AdapterName, version: u32| {
+            input.newest.get(name).is_some_and(|&newest| version < newest)
         };
-        let unused = |name: &AdapterName| !view.used.contains(&name);
-        let (name, _) = view
-            .report
-            .adapters()
-            .find(|(name, held)| old(name, *held) && unused(name) && self.allowed(name))?;
-        if self.uses.get(&name).is_some_and(|&used| now.since(used) < RECENT) {
-            self.renewed.insert(name.clone());
+        let unused = |name: &AdapterName| !input.used.contains(&name);
+        let (name, _) = input.report.adapters().find(|(name, version)| {
+            outdated(name, *version) && unused(name) && self.may_order(name)
+        })?;
+        if self.last_used.get(&name).is_some_and(|&used| now.since(used) < RECENT_USE) {
+            self.updates.insert(name.clone());
         }
         Some((name, Target::Unload))
     }
 
-    /// An adapter that is waited for or due, or the room for it. Copies go first:
-    /// one serves many, where what is waited for mostly serves one.
-    fn missing(&self, now: Instant, view: &View<'_>, kept: usize) -> Option<(AdapterName, Target)> {
-        let report = view.report;
+    /// Loads a missing adapter, or evicts one to make room. Requested replicas go
+    /// first, as each serves many requests, while most other missing adapters serve
+    /// one. Updates ahead of demand go last and evict nothing.
+    fn load_missing(
+        &self,
+        now: Instant,
+        input: &PlanInput<'_>,
+        reserved: usize,
+    ) -> Option<(AdapterName, Target)> {
+        let report = input.report;
         let absent = |name: &&AdapterName| {
             name.adapter.is_some()
                 && report.version(name).is_none()
                 && report.has_model(name)
                 && !report.is_pending(name)
-                && self.allowed(name)
-                && view.loads.may_begin(now, name, report.pending.len())
+                && self.may_order(name)
+                && input.loads.may_start(now, name, report.pending.len())
         };
-        let room = report.places_taken() + kept < view.spec.places as usize;
-        if let Some(name) = self.copies.keys().chain(view.wanted).find(absent) {
-            return match room {
-                true => Some((name.clone(), LOAD)),
-                false => self.victim(view).map(|victim| (victim, Target::Unload)),
+        let has_slot = report.used_adapter_slots() + reserved < input.spec.places as usize;
+        if let Some(name) = self.replica_requests.keys().chain(input.wanted).find(absent) {
+            return match has_slot {
+                true => Some((name.clone(), LOAD_NEWEST)),
+                false => self.eviction_candidate(input).map(|evicted| (evicted, Target::Unload)),
             };
         }
-        let due = self.renewed.iter().find(absent).filter(|_| room)?;
-        Some((due.clone(), LOAD))
+        let update = self.updates.iter().find(absent).filter(|_| has_slot)?;
+        Some((update.clone(), LOAD_NEWEST))
     }
 
-    /// The adapter that was not used for the longest time and that nobody
-    /// uses or waits for.
-    fn victim(&self, view: &View<'_>) -> Option<AdapterName> {
+    /// Returns the least recently used adapter that no request uses or waits for.
+    fn eviction_candidate(&self, input: &PlanInput<'_>) -> Option<AdapterName> {
         let free = |name: &AdapterName| {
-            !view.used.contains(&name)
-                && !view.wanted.contains(name)
-                && !view.report.is_pending(name)
-                && self.allowed(name)
+            !input.used.contains(&name)
+                && !input.wanted.contains(name)
+                && !input.report.is_pending(name)
+                && self.may_order(name)
         };
-        let names = view.report.adapters().map(|(name, _)| name).filter(free);
-        names.min_by_key(|name| self.uses.get(name).copied().unwrap_or_default())
+        let names = input.report.adapters().map(|(name, _)| name).filter(free);
+        names.min_by_key(|name| self.last_used.get(name).copied().unwrap_or_default())
     }
 
-    fn allowed(&self, name: &AdapterName) -> bool {
-        !self.refused.contains_key(name)
+    fn may_order(&self, name: &AdapterName) -> bool {
+        !self.retry_after.contains_key(name)
     }
 }
--- a/kingcupbay_core/src/admission/prefill.rs
+++ b/kingcupbay_core/src/admission/prefill.rs
@@ -1,20 +1,19 @@
-//! Keeps the pauses between the events of running streams short.
+//! Limits prefill so that running streams keep their event gap.
 //!
-//! An engine reads prompts in pieces between the tokens of the streams that
-//! run, and an event holds several tokens. Prompts that come together are read
-//! in one step after the other, and every running stream stands still
-//! meanwhile: with pieces of 2,048 tokens at 19 tokens a millisecond and three
-//! tokens to an event, for 350 ms. So prompts are let through no faster than
-//! leaves each event its time. A new request waits a little longer for its
-//! first event, of which its aim leaves room.
+//! An engine prefills prompts in chunks between the decode steps of the running
+//! streams, and one event holds several tokens. Prompts that arrive together are
+//! prefilled in consecutive steps, which stalls every running stream: with chunks
+//! of 2,048 tokens, 19 tokens a millisecond and three tokens per event, for 350 ms.
+//! So permits are granted no faster than lets every stream make its next event
+//! within the event gap. A new request waits slightly longer for its first event,
+//! which its latency target leaves room for.
 //!
-//! How large the pieces are is not known, so what is worked out for large ones
-//! is only where it begins ([`PrefillScale`]): streams tell how long they really stood
-//! still. An engine with small pieces may read without a break.
+//! The actual chunk size is unknown. The limit computed for large chunks is only a
+//! starting point, which [`PrefillScale`] corrects by the pauses that streams
+//! report. An engine with small chunks may prefill without interruption.
 //!
-//! Load that this answers: 8 requests a second with 1,175 tokens of prompt on
-//! average at one engine, half of what it could read. Played by
-//! `pauses.rs::streams_that_run_do_not_stand_still`.
+//! Such stalls occur at, for example, 8 requests a second with a mean prompt of
+//! 1,175 tokens at one engine, half of what it could prefill.
 
 use std::collections::VecDeque;
 
@@ -22,180 +21,188 @@
 
 use super::speed::Speed;
 
-/// Most tokens of prompts that an engine is taken to read between two tokens of a
+/// Most prompt tokens that an engine is assumed to prefill between two tokens of a
 /// stream: the usual default of engines.
-const PIECE: u64 = 2_048;
+const PREFILL_CHUNK_TOKENS: u64 = 2_048;
 
-/// Part of the time beside the tokens of an event, in percent, that may go to
-/// prompts. Long ones take a few milliseconds more for each thousand tokens
-/// before, and events are a few on their way.
-const PART: u64 = 95;
+/// Percentage of the time between two events, less that for the event's own tokens,
+/// that may go to prefill. Long prompts take a few milliseconds more for each
+/// thousand preceding tokens, and events spend a few on the network.
+const PREFILL_TIME_PERCENT: u64 = 95;
 
-/// Prompts at the engine that are not read yet, as time to read them, where
-/// events come in time however many there are: two steps, so that it never runs
-/// out of them between two reports.
-const WINDOW: Span = Span::from_millis(200);
+/// Unread prompts allowed at an engine whose event gap is kept at any prefill load,
+/// as time to prefill them. This is two steps, so that the engine does not run idle
+/// between two reports.
+const UNREAD_WINDOW: Span = Span::from_millis(200);
 
-/// What may be unread where pauses are kept, as a multiple of what goes within
-/// one. Reports tell late of what was read; an engine that reads more slowly
-/// than is believed shows by more than this.
-const BEHIND: u64 = 2;
+/// Unread prompts allowed under a limit per event gap, as a multiple of that limit.
+/// Reports show late what was prefilled. An engine that prefills more slowly than
+/// estimated exceeds this.
+const MAX_UNREAD_BUDGETS: u64 = 2;
 
-/// Streams after which it is looked at again how long their pauses were. A busy
-/// engine has some four a second end.
-const STREAMS: u32 = 24;
+/// Streams after which the scale is adjusted. On a busy engine about four streams
+/// end each second.
+const STREAMS_PER_ADJUSTMENT: u32 = 24;
 
-/// Longest pause of all of them, as part of the one that is to be kept, up to
-/// which more prompts go. Pieces make pauses in steps, and there has to be room for
-/// one more.
-const CALM: f64 = 0.77;
+/// Share of the event gap that the longest pause may take before the scale stops
+/// growing. Chunks lengthen a pause in steps, so there must be room for one more
+/// chunk.
+const TARGET_GAP_SHARE: f64 = 0.77;
 
-/// How many of them may stand still before fewer prompts go: a lost packet is no
-/// engine's pause.
-const STILL: u32 = 1;
+/// Stalled streams that do not lower the scale, as a single lost packet also causes
+/// a pause.
+const TOLERATED_STALLS: u32 = 1;
 
-/// Most that prompts grow by at a time, as a multiple: one look is enough to reach an
-/// engine's full pace from what is worked out.
-const MORE: f64 = 1.25;
+/// Largest growth of the scale in one adjustment. One such adjustment takes an
+/// engine from the computed limit to its full prefill rate.
+const MAX_GROWTH_FACTOR: f64 = 1.25;
 
-/// What still goes when streams stood still, as a multiple.
-const LESS: f64 = 0.85;
+/// Factor applied to the scale after stalls.
+const STALL_FACTOR: f64 = 0.85;
 
-/// Part of what made streams stand still beyond which prompts do not grow again.
-const AGAIN: f64 = 0.9;
+/// Highest scale allowed after stalls, as a share of the scale that caused them.
+const CEILING_SHARE: f64 = 0.9;
 
-/// What that bound grows by with each look at streams that did not stand still. It is
-/// slow, or an engine slower than others tries too much again and again.
-const AGAIN_MORE: f64 = 1.002;
+/// Growth of that ceiling with each adjustment without stalls. It is slow, as a
+/// slower engine would otherwise be overloaded again and again.
+const CEILING_GROWTH_FACTOR: f64 = 1.002;
 
-/// Bounds of what is learned, as a multiple of what was worked out. Below 1 callers
-/// are refused to spare streams that are on time.
-const BOUNDS: (f64, f64) = (1.0, 1.5);
+/// Lower and upper bound of the scale. Below 1, requests would be refused to protect
+/// streams that already keep their event gap.
+const FACTOR_BOUNDS: (f64, f64) = (1.0, 1.5);
 
-/// How much of what was worked out goes, learned from the pauses of streams.
+/// Factor on the computed prefill limit, learned from the pauses of streams.
 #[derive(Debug)]
 pub(super) struct PrefillScale {
-    part: f64,
-    /// Not to be passed, as streams stood still a little above. Invariant: not
-    /// below `part`.
+    factor: f64,
+    /// Upper bound of `factor`, just below the value at which streams stalled.
+    /// Invariant: not below `factor`.
     ceiling: f64,
-    /// Streams that ended since it was last looked at and that ran while prompts
-    /// were held back. Pauses of others were short because little was asked for.
+    /// Streams that ended since the last adjustment and that ran while prompts were
+    /// delayed. Pauses of other streams were short because there was little load.
     streams: u32,
-    /// Those of them that stood still.
-    still: u32,
-    /// Longest pause of them, as part of the one that is to be kept.
-    longest: f64,
+    /// Those of them that stalled: a pause was longer than the event gap.
+    stalled: u32,
+    /// Their longest pause, as a share of the event gap.
+    longest_share: f64,
 }
 
 impl Default for PrefillScale {
     fn default() -> PrefillScale {
-        PrefillScale { part: 1.0, ceiling: BOUNDS.1, streams: 0, still: 0, longest: 0.0 }
+        PrefillScale {
+            factor: 1.0,
+            ceiling: FACTOR_BOUNDS.1,
+            streams: 0,
+            stalled: 0,
+            longest_share: 0.0,
+        }
     }
 }
 
 impl PrefillScale {
-    /// A stream has ended that ran while prompts were held back; its longest
-    /// pause was `pause`, where `gap` is the longest that is to be kept.
+    /// Records the longest pause of a stream that ended normally and ran while
+    /// prompts were delayed; `gap` is its event gap.
     pub(super) fn on_stream_complete(&mut self, pause: Span, gap: Span) {
-        let taken = pause.as_millis_f64() / gap.as_millis_f64().max(1.0);
+        let share = pause.as_millis_f64() / gap.as_millis_f64().max(1.0);
         self.streams += 1;
-        self.still += u32::from(taken > 1.0);
-        self.longest = self.longest.max(taken);
-        if self.still > STILL {
-            self.ceiling = self.part * AGAIN;
-            self.change(LESS);
-        } else if self.streams >= STREAMS {
-            self.ceiling *= AGAIN_MORE;
-            self.change((CALM / self.longest.max(0.1)).clamp(1.0, MORE));
+        self.stalled += u32::from(share > 1.0);
+        self.longest_share = self.longest_share.max(share);
+        if self.stalled > TOLERATED_STALLS {
+            self.ceiling = self.factor * CEILING_SHARE;
+            self.scale(STALL_FACTOR);
+        } else if self.streams >= STREAMS_PER_ADJUSTMENT {
+            self.ceiling *= CEILING_GROWTH_FACTOR;
+            self.scale(
+                (TARGET_GAP_SHARE / self.longest_share.max(0.1)).clamp(1.0, MAX_GROWTH_FACTOR),
+            );
         }
     }
 
-    fn change(&mut self, by: f64) {
-        let (low, high) = BOUNDS;
+    fn scale(&mut self, by: f64) {
+        let (low, high) = FACTOR_BOUNDS;
         self.ceiling = self.ceiling.clamp(low, high);
-        self.part = (self.part * by).clamp(low, self.ceiling);
-        (self.streams, self.still, self.longest) = (0, 0, 0.0);
+        self.factor = (self.factor * by).clamp(low, self.ceiling);
+        (self.streams, self.stalled, self.longest_share) = (0, 0, 0.0);
     }
 
-    /// As a multiple of what was worked out.
-    pub(super) fn part(&self) -> f64 {
-        self.part
+    /// Returns the factor to apply to the computed limit.
+    pub(super) fn factor(&self) -> f64 {
+        self.factor
     }
 }
 
-/// How fast prompts may be let through.
+/// How many prompt tokens may be sent to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PrefillLimit {
-    /// So many tokens within each pause.
+    /// At most this many tokens within each event gap.
     PerGap(u64),
-    /// While so many are unread.
+    /// Any number while fewer than this many tokens are unread.
     Window(u64),
 }
 
 impl PrefillLimit {
-    /// The limit of an engine of that pace, if its streams' events may be `gap`
-    /// apart and `part` was learned.
-    pub fn new(pace: &Speed, gap: Span, part: f64) -> PrefillLimit {
-        let steps = pace.stride();
-        let piece = pace.time(PIECE).as_micros();
-        let longest = pace.event() + Span::from_micros((steps * piece as f64) as u64);
+    /// Computes the limit for an engine of this speed whose streams have the event
+    /// gap `gap`; `factor` scales the limit per event gap.
+    pub fn new(speed: &Speed, gap: Span, factor: f64) -> PrefillLimit {
+        let chunks = speed.tokens_per_event();
+        let chunk = speed.prefill_time(PREFILL_CHUNK_TOKENS).as_micros();
+        let longest = speed.event_interval() + Span::from_micros((chunks * chunk as f64) as u64);
         if longest <= gap {
-            return PrefillLimit::Window(pace.tokens_in(WINDOW));
+            return PrefillLimit::Window(speed.prefill_tokens_in(UNREAD_WINDOW));
         }
-        let free = gap.saturating_sub(pace.event());
-        let worked_out = pace.tokens_in(free) * PART / 100;
-        let budget = (worked_out as f64 * part) as u64;
-        match budget >= pace.tokens_in(gap) {
-            true => PrefillLimit::Window(pace.tokens_in(WINDOW)),
+        let free = gap.saturating_sub(speed.event_interval());
+        let computed = speed.prefill_tokens_in(free) * PREFILL_TIME_PERCENT / 100;
+        let budget = (computed as f64 * factor) as u64;
+        match budget >= speed.prefill_tokens_in(gap) {
+            true => PrefillLimit::Window(speed.prefill_tokens_in(UNREAD_WINDOW)),
             false => PrefillLimit::PerGap(budget),
         }
     }
 
-    /// Tokens that go at once.
-    pub(super) fn at_once(self) -> u64 {
+    /// Returns the tokens that can be sent without a wait.
+    pub(super) fn burst_tokens(self) -> u64 {
         let (PrefillLimit::PerGap(tokens) | PrefillLimit::Window(tokens)) = self;
         tokens
     }
 
-    /// Time until the last of `tokens` is let through.
-    pub(super) fn time(self, pace: &Speed, gap: Span, tokens: u64) -> Span {
+    /// Returns the time until the last of `tokens` can be sent.
+    pub(super) fn wait_time(self, speed: &Speed, gap: Span, tokens: u64) -> Span {
         match self {
             PrefillLimit::PerGap(budget) => {
                 Span::from_micros(tokens.saturating_mul(gap.as_micros()) / budget.max(1))
             }
-            PrefillLimit::Window(_) => pace.time(tokens),
+            PrefillLimit::Window(_) => speed.prefill_time(tokens),
         }
     }
 }
 
-/// Prompts that were let through lately.
+/// Prompts of recently granted permits.
 #[derive(Debug, Default)]
 pub(super) struct RecentGrants {
     grants: VecDeque<(Instant, u64)>,
 }
 
 impl RecentGrants {
-    /// A prompt of `tokens` was let through.
+    /// Records a permit for a prompt of `tokens`.
     pub(super) fn on_grant(&mut self, now: Instant, tokens: u64) {
         self.grants.push_back((now, tokens));
     }
 
-    /// Forgets what was let through longer than `gap` ago.
-    pub(super) fn forget(&mut self, now: Instant, gap: Span) {
+    /// Removes grants that are older than `gap`.
+    pub(super) fn expire(&mut self, now: Instant, gap: Span) {
         while self.grants.front().is_some_and(|&(at, _)| now.since(at) >= gap) {
             self.grants.pop_front();
         }
     }
 
-    /// Whether a prompt of `tokens` may go now, beside `unread` that went
-    /// before. One that is longer than a pause allows goes alone.
+    /// Whether a prompt of `tokens` may be sent now, while `unread` tokens are still
+    /// to be prefilled. A prompt longer than the limit per event gap is sent alone.
     pub(super) fn fits(&self, limit: PrefillLimit, unread: u64, tokens: u64) -> bool {
         match limit {
             PrefillLimit::Window(window) => unread < window,
             PrefillLimit::PerGap(budget) => {
                 let recent: u64 = self.grants.iter().map(|(_, tokens)| tokens).sum();
-                (recent == 0 || recent + tokens <= budget) && unread < budget * BEHIND
+                (recent == 0 || recent + tokens <= budget) && unread < budget * MAX_UNREAD_BUDGETS
             }
         }
     }
--- a/kingcupbay_core/src/admission/queue.rs
+++ b/kingcupbay_core/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a place, and the order in which they get it.
+//! Requests that wait for a permit, and the order in which they get one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,99 +10,100 @@
 
 use super::Ticket;
 
-/// What one step of rank is worth in waiting time. An urgent request passes
-/// those that came up to this long before it; one that has waited longer goes
-/// first whatever its rank, so no rank is starved.
-const RANK_STEP: Span = Span::from_millis(300);
+/// Waiting time that one step of priority is worth. A more urgent request overtakes
+/// those that arrived up to this long before it. One that has waited longer goes
+/// first regardless of priority, so no priority is starved.
+const PRIORITY_STEP: Span = Span::from_millis(300);
 
-/// Time from a place to the first event: reading the prompt.
-const FIRST_EVENT: Span = Span::from_millis(150);
+/// Expected time from a permit to the first event, spent on prefill.
+const PREFILL_TIME: Span = Span::from_millis(150);
 
-/// A request that waits.
+/// A request that waits for a permit.
 #[derive(Clone, Debug)]
 pub struct Waiter {
-    /// Its key.
+    /// Identifies the permit request.
     pub ticket: Ticket,
-    /// What it wants.
+    /// The permit request.
     pub want: Want,
-    /// When it came.
-    since: Instant,
+    /// Arrival time.
+    queued_at: Instant,
 }
 
 impl Waiter {
-    /// A request that came at `now`.
+    /// Creates a waiter that arrived at `now`.
     pub fn new(now: Instant, ticket: Ticket, want: Want) -> Waiter {
-        Waiter { ticket, want, since: now }
+        Waiter { ticket, want, queued_at: now }
     }
 
-    /// Until when a place is of use.
-    fn until(&self) -> Instant {
-        self.since + self.want.patience
+    /// Returns the time after which a permit is no longer useful.
+    fn deadline(&self) -> Instant {
+        self.queued_at + self.want.patience
     }
 
-    /// Whether it can still be on time if it gets its place in `wait`.
-    fn on_time(&self, now: Instant, wait: Span) -> bool {
-        now + wait + FIRST_EVENT <= self.since + self.want.aim
+    /// Whether it can meet its latency target with a permit granted after `wait`.
+    fn can_meet_target(&self, now: Instant, wait: Span) -> bool {
+        now + wait + PREFILL_TIME <= self.queued_at + self.want.aim
     }
 
-    /// Its turn: the smaller goes first.
-    fn turn(&self) -> Instant {
-        self.since + Span::from_micros(RANK_STEP.as_micros() * u64::from(self.want.rank))
+    /// Returns its position in the order of priority; the earlier time goes first.
+    fn priority_time(&self) -> Instant {
+        self.queued_at + Span::from_micros(PRIORITY_STEP.as_micros() * u64::from(self.want.rank))
     }
 }
 
-/// The requests that wait.
+/// The requests that wait for a permit.
 #[derive(Debug, Default)]
 pub struct Queue {
     waiters: BTreeMap<Ticket, Waiter>,
 }
 
 impl Queue {
-    /// Takes a request in.
+    /// Adds a request.
     pub fn push(&mut self, waiter: Waiter) {
         self.waiters.insert(waiter.ticket, waiter);
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Waiter> {
         self.waiters.remove(&ticket)
     }
 
-    /// Takes all requests out.
+    /// Removes and returns all requests.
     pub fn clear(&mut self) -> Vec<Waiter> {
         std::mem::take(&mut self.waiters).into_values().collect()
     }
 
-    /// Takes out those that a place would not help any more.
+    /// Removes and returns the requests whose deadline has passed.
     pub fn expire(&mut self, now: Instant) -> Vec<Waiter> {
-        let over = |waiter: &Waiter| waiter.until() <= now;
-        let gone: Vec<Ticket> =
-            self.waiters.values().filter(|waiter| over(waiter)).map(|w| w.ticket).collect();
-        gone.into_iter().filter_map(|ticket| self.remove(ticket)).collect()
+        let expired = |waiter: &Waiter| waiter.deadline() <= now;
+        let tickets: Vec<Ticket> =
+            self.waiters.values().filter(|waiter| expired(waiter)).map(|w| w.ticket).collect();
+        tickets.into_iter().filter_map(|ticket| self.remove(ticket)).collect()
     }
 
-    /// A request by its key.
+    /// Returns a request by its ticket.
     pub fn get(&self, ticket: Ticket) -> Option<&Waiter> {
         self.waiters.get(&ticket)
     }
 
-    /// Keys in the order in which they get places: those that can be on time
-    /// before those that cannot, as a place spent on a late one makes the
-    /// next one late too. `wait` says how long each has to wait at least.
-    pub fn order(&self, now: Instant, wait: impl Fn(&AdapterName) -> Span) -> Vec<Ticket> {
-        let turn = |waiter: &Waiter| {
-            let late = !waiter.on_time(now, wait(&waiter.want.name));
-            (late, waiter.turn(), waiter.ticket)
+    /// Returns the tickets in the order in which they get permits. Requests that can
+    /// meet their latency target go before those that cannot, as a permit spent on a
+    /// late request makes the next one late too. `wait` returns the shortest wait
+    /// for an adapter.
+    pub fn grant_order(&self, now: Instant, wait: impl Fn(&AdapterName) -> Span) -> Vec<Ticket> {
+        let sort_key = |waiter: &Waiter| {
+            let late = !waiter.can_meet_target(now, wait(&waiter.want.name));
+            (late, waiter.priority_time(), waiter.ticket)
         };
-        let mut order: Vec<_> = self.waiters.values().map(turn).collect();
+        let mut order: Vec<_> = self.waiters.values().map(sort_key).collect();
         order.sort_unstable();
         order.into_iter().map(|(_, _, ticket)| ticket).collect()
     }
 
-    /// Adapters that are waited for, in the order in which to load them: those
-    /// that most wait for first, as one load serves them all; among equals in
-    /// the order of `tickets`.
-    pub fn names(&self, tickets: &[Ticket]) -> Vec<AdapterName> {
+    /// Returns the adapters that requests wait for in the order in which to load
+    /// them. The one with the most waiting requests goes first, as one load serves
+    /// them all; ties follow the order of `tickets`.
+    pub fn load_order(&self, tickets: &[Ticket]) -> Vec<AdapterName> {
         let mut counts: BTreeMap<&AdapterName, (usize, usize)> = BTreeMap::new();
         let waiters = tickets.iter().filter_map(|ticket| self.get(*ticket));
         for (turn, waiter) in waiters.enumerate() {
@@ -113,28 +114,28 @@
         names.into_iter().map(|(name, _)| name.clone()).collect()
     }
 
-    /// Adapters that are waited for, each once.
-    pub fn wanted(&self) -> BTreeSet<&AdapterName> {
+    /// Returns the adapters that requests wait for, without duplicates.
+    pub fn awaited_adapters(&self) -> BTreeSet<&AdapterName> {
         self.waiters.values().map(|waiter| &waiter.want.name).collect()
     }
 
-    /// Prompt tokens of all that wait.
-    pub fn tokens(&self) -> u64 {
+    /// Returns the prompt tokens of all waiting requests.
+    pub fn prompt_tokens(&self) -> u64 {
         self.waiters.values().map(|waiter| waiter.want.size.prompt).sum()
     }
 
-    /// Prompt tokens of those that go before a new request of `rank`.
-    pub fn tokens_before(&self, rank: u8) -> u64 {
-        let before = self.waiters.values().filter(|waiter| waiter.want.rank <= rank);
+    /// Returns the prompt tokens of requests of this `priority` or a more urgent one.
+    pub fn prompt_tokens_before(&self, priority: u8) -> u64 {
+        let before = self.waiters.values().filter(|waiter| waiter.want.rank <= priority);
         before.map(|waiter| waiter.want.size.prompt).sum()
     }
 
-    /// How many wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiters.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiters.is_empty()
     }
--- a/kingcupbay_core/src/admission/report.rs
+++ b/kingcupbay_core/src/admission/report.rs
@@ -1,50 +1,51 @@
-//! What an engine reports of itself.
+//! An engine's reports of its own state.
 
 use crate::{
     deployment::model::{AdapterName, Held, held_version},
     time::Span,
 };
 
-/// A report, true at the moment at which the engine made it.
+/// The state of an engine at the time of the report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// It takes nothing new.
+    /// Whether the engine is leaving and accepts nothing new.
     pub leaving: bool,
-    /// How long until it is gone, where it knows.
+    /// Time until the engine is gone, if known.
     pub remaining: Option<Span>,
-    /// An order about a base model is in progress.
+    /// Whether an order about a base model, or one that replaces an adapter, is in
+    /// progress.
     pub busy: bool,
-    /// Orders accepted since it started; fewer than before tell a restart.
+    /// Orders accepted since the engine started; a lower count shows a restart.
     pub orders: u64,
-    /// Requests that wait inside.
+    /// Requests that wait inside the engine.
     pub waiting: u32,
     /// Requests that run.
     pub running: u32,
-    /// Tokens of memory that running requests hold.
+    /// Tokens of memory used by running requests.
     pub memory_used: u64,
-    /// Tokens of memory.
+    /// Tokens of memory in total.
     pub memory: u64,
-    /// Base models with their adapters.
+    /// Loaded base models with their adapters.
     pub resident: Vec<Held>,
-    /// Adapters on their way, with their versions.
+    /// Adapters being loaded, with their versions.
     pub pending: Vec<(AdapterName, u32)>,
-    /// Requests that run.
+    /// The running requests.
     pub runs: Vec<Run>,
 }
 
 /// A running request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// Identity of the caller's attempt.
+    /// Identifies the caller's attempt.
     pub attempt: String,
-    /// Tokens of it in memory.
+    /// Its tokens in memory.
     pub tokens: u64,
-    /// Events made so far; from the first on, its prompt has been read.
+    /// Events made so far; at least one means that its prompt was prefilled.
     pub events: u64,
 }
 
 impl Report {
-    /// The version in which `name` is loaded.
+    /// Returns the loaded version of `name`, if any.
     pub fn version(&self, name: &AdapterName) -> Option<u32> {
         held_version(&self.resident, name)
     }
@@ -54,17 +55,17 @@
         self.resident.iter().any(|held| held.model == name.model)
     }
 
-    /// Whether `name` is on its way.
+    /// Whether `name` is being loaded.
     pub fn is_pending(&self, name: &AdapterName) -> bool {
         self.pending.iter().any(|(other, _)| other == name)
     }
 
-    /// Places that adapters take, those on their way included.
-    pub fn places_taken(&self) -> usize {
+    /// Returns the adapter slots in use, including those of pending loads.
+    pub fn used_adapter_slots(&self) -> usize {
         self.resident.iter().map(|held| held.adapters.len()).sum::<usize>() + self.pending.len()
     }
 
-    /// Every loaded adapter with its version.
+    /// Returns every loaded adapter with its version.
     pub fn adapters(&self) -> impl Iterator<Item = (AdapterName, u32)> {
         self.resident.iter().flat_map(|held| {
             held.adapters.iter().map(|(adapter, &version)| {
--- a/kingcupbay_core/src/admission/running.rs
+++ b/kingcupbay_core/src/admission/running.rs
@@ -1,4 +1,4 @@
-//! Requests that were let through and have not ended.
+//! Requests that hold a permit.
 
 use std::collections::BTreeMap;
 
@@ -10,154 +10,154 @@
 
 use super::{report::Report, speed::Speed};
 
-/// A place that was granted and whose request no report has shown by then was
-/// never used: its entry died or its request was lost on the way.
-const UNSEEN: Span = Span::from_secs(3);
+/// Time after which a permit is released if no report has shown its request. The
+/// entry died, or the request was lost on the network.
+const UNSEEN_TIMEOUT: Span = Span::from_secs(3);
 
-/// A request that a report has shown and later ones do not any more has ended;
-/// the entry says so within a round trip, unless it died.
-const ENDED: Span = Span::from_secs(1);
+/// Time after which a permit is released if later reports no longer show its
+/// request. An entry that is alive reports the end within a round trip.
+const ENDED_TIMEOUT: Span = Span::from_secs(1);
 
-/// One of them.
+/// A request that holds a permit.
 #[derive(Clone, Debug)]
-struct Run {
+struct RunningRequest {
     name: AdapterName,
-    /// Tokens of memory kept for it.
-    kept: u64,
+    /// Tokens of memory reserved for it.
+    reserved: u64,
     /// Tokens of its prompt.
     prompt: u64,
-    /// Longest pause between two of its events.
-    gap: Option<Span>,
-    since: Instant,
-    /// When a report last showed it.
-    seen: Option<Instant>,
-    /// Events that it had made then; from the first on, its prompt is read.
+    /// Its event gap: the longest allowed pause between two of its events.
+    event_gap: Option<Span>,
+    granted_at: Instant,
+    /// Time of the latest report that showed it.
+    seen_at: Option<Instant>,
+    /// Its events in that report; at least one means that its prompt was prefilled.
     events: u64,
-    /// Tokens of it that were in memory then.
+    /// Its tokens in memory in that report.
     tokens: u64,
-    /// No other prompt was unread since it was let through.
+    /// Whether no other prompt was unread since the permit was granted.
     alone: bool,
-    /// Prompts were held back while it made events.
-    held: bool,
+    /// Whether prompts of other requests were delayed while it made events.
+    delayed_others: bool,
 }
 
-/// All of them, by attempt id.
+/// All requests that hold a permit, by attempt id.
 #[derive(Debug, Default)]
 pub(super) struct Running {
-    runs: BTreeMap<String, Run>,
-    /// Prompts were unread at some moment since the last report.
-    reading: bool,
+    runs: BTreeMap<String, RunningRequest>,
+    /// Whether any prompt was unread since the last report.
+    prefilling: bool,
 }
 
 impl Running {
-    /// A request was let through.
+    /// Records a granted permit.
     pub(super) fn on_grant(&mut self, now: Instant, want: &Want) {
-        let alone = self.unread() == 0;
+        let alone = self.unread_tokens() == 0;
         for run in self.runs.values_mut().filter(|run| run.events == 0) {
             run.alone = false;
         }
-        self.reading = true;
-        let run = Run {
+        self.prefilling = true;
+        let run = RunningRequest {
             name: want.name.clone(),
-            kept: want.size.total(),
+            reserved: want.size.total(),
             prompt: want.size.prompt,
-            gap: want.gap,
-            since: now,
-            seen: None,
+            event_gap: want.gap,
+            granted_at: now,
+            seen_at: None,
             events: 0,
             tokens: 0,
             alone,
-            held: false,
+            delayed_others: false,
         };
         self.runs.insert(want.attempt.clone(), run);
     }
 
-    /// A request has ended; its adapter.
-    pub(super) fn on_end(&mut self, attempt: &str) -> Option<AdapterName> {
+    /// Removes a request that has ended and returns its adapter.
+    pub(super) fn on_request_end(&mut self, attempt: &str) -> Option<AdapterName> {
         self.runs.remove(attempt).map(|run| run.name)
     }
 
-    /// A prompt was held back so that those that run do not stand still.
-    pub(super) fn on_held(&mut self) {
+    /// Records that a prompt was delayed to keep the event gap of running streams.
+    pub(super) fn on_prefill_delayed(&mut self) {
         for run in self.runs.values_mut().filter(|run| run.events > 0) {
-            run.held = true;
+            run.delayed_others = true;
         }
     }
 
-    /// Longest pause to be kept between events of a request that ran while prompts
-    /// were held back; it is `Some(None)` if its route names none.
-    pub(super) fn held_gap(&self, attempt: &str) -> Option<Option<Span>> {
-        self.runs.get(attempt).filter(|run| run.held).map(|run| run.gap)
+    /// Returns the event gap of a request during which prompts were delayed. The
+    /// inner `None` means that its route sets no event gap.
+    pub(super) fn delayed_gap(&self, attempt: &str) -> Option<Option<Span>> {
+        self.runs.get(attempt).filter(|run| run.delayed_others).map(|run| run.event_gap)
     }
 
-    /// The engine has restarted.
+    /// Removes all requests after a restart of the engine.
     pub(super) fn clear(&mut self) {
         self.runs.clear();
     }
 
-    /// Compares with a report that comes `passed` after the one before, and
-    /// lets `pace` learn from it.
+    /// Updates the requests from a report made `elapsed` after the previous one and
+    /// passes measurements to `speed`.
     pub(super) fn on_report(
         &mut self,
         now: Instant,
-        passed: Span,
+        elapsed: Span,
         report: &Report,
-        pace: &mut Speed,
+        speed: &mut Speed,
     ) {
-        let quiet = !std::mem::take(&mut self.reading) && self.unread() == 0;
+        let quiet = !std::mem::take(&mut self.prefilling) && self.unread_tokens() == 0;
         let (mut events, mut time) = (0, Span::ZERO);
         for shown in &report.runs {
             let Some(run) = self.runs.get_mut(&shown.attempt) else { continue };
-            let more = shown.events.saturating_sub(run.events);
-            if run.events == 0 && more > 0 && run.alone {
-                pace.on_first(run.prompt, now.since(run.since));
+            let new_events = shown.events.saturating_sub(run.events);
+            if run.events == 0 && new_events > 0 && run.alone {
+                speed.on_first_event(run.prompt, now.since(run.granted_at));
             } else if quiet && run.events > 0 {
-                events += more;
-                time = time + passed;
+                events += new_events;
+                time = time + elapsed;
             }
             if run.events > 0 {
-                pace.on_tokens(more, shown.tokens.saturating_sub(run.tokens));
+                speed.on_tokens(new_events, shown.tokens.saturating_sub(run.tokens));
             }
-            run.seen = Some(now);
+            run.seen_at = Some(now);
             run.tokens = shown.tokens;
             run.events = run.events.max(shown.events);
         }
-        pace.on_events(events, time);
-        self.reading = self.unread() > 0;
-        self.runs.retain(|_, run| match run.seen {
-            Some(seen) => now.since(seen) < ENDED,
-            None => report.waiting > 0 || now.since(run.since) < UNSEEN,
+        speed.on_events(events, time);
+        self.prefilling = self.unread_tokens() > 0;
+        self.runs.retain(|_, run| match run.seen_at {
+            Some(seen_at) => now.since(seen_at) < ENDED_TIMEOUT,
+            None => report.waiting > 0 || now.since(run.granted_at) < UNSEEN_TIMEOUT,
         });
     }
 
-    /// How many there are.
+    /// Returns the number of requests.
     pub(super) fn len(&self) -> usize {
         self.runs.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no requests.
     pub(super) fn is_empty(&self) -> bool {
         self.runs.is_empty()
     }
 
-    /// Tokens of prompts that the engine has not read yet.
-    pub(super) fn unread(&self) -> u64 {
+    /// Returns the prompt tokens that the engine has not prefilled yet.
+    pub(super) fn unread_tokens(&self) -> u64 {
         let unread = self.runs.values().filter(|run| run.events == 0);
         unread.map(|run| run.prompt).sum()
     }
 
-    /// Tokens of memory kept for all.
-    pub(super) fn kept(&self) -> u64 {
-        self.runs.values().map(|run| run.kept).sum()
+    /// Returns the tokens of memory reserved for all requests.
+    pub(super) fn reserved_tokens(&self) -> u64 {
+        self.runs.values().map(|run| run.reserved).sum()
     }
 
-    /// Longest pause between events that none of them is to pass.
-    pub(super) fn gap(&self) -> Option<Span> {
-        self.runs.values().filter_map(|run| run.gap).min()
+    /// Returns the shortest event gap of all requests.
+    pub(super) fn event_gap(&self) -> Option<Span> {
+        self.runs.values().filter_map(|run| run.event_gap).min()
     }
 
-    /// Their adapters, as often as they are used.
-    pub(super) fn names(&self) -> impl Iterator<Item = &AdapterName> {
+    /// Returns the adapter of each request, repeated if several requests use it.
+    pub(super) fn adapters(&self) -> impl Iterator<Item = &AdapterName> {
         self.runs.values().map(|run| &run.name)
     }
 }
