--- a/kingcupbay_core/src/admission/running.rs
+++ b/kingcupbay_core/src/admission/running.rs
@@ -10,8 +10,8 @@
 
 use super::{report::Report, speed::Speed};
 
-/// Time after which a permit is released if no report has shown its request. The
-/// entry died, or the request was lost on the network.
+/// Time after which a permit is released if no report has shown its request and none
+/// waits inside the engine. The entry died, or the request was lost on the network.
 const UNSEEN_TIMEOUT: Span = Span::from_secs(3);
 
 /// Time after which a permit is released if later reports no longer show its
--- a/kingcupbay_core/tests/admission.rs
+++ b/kingcupbay_core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! One engine's places, queue and adapters.
+//! Tests of one engine's permits, queue and adapters.
 
 #![allow(clippy::unwrap_used)]
 
@@ -43,8 +43,8 @@
 fn report(orders: u64, adapters: &[(&str, u32)]) -> Report {
     let adapters: BTreeMap<String, u32> =
         adapters.iter().map(|&(name, version)| (name.to_owned(), version)).collect();
-    let held = vec![Held { model: "base".into(), version: 1, adapters }];
-    Report { orders, memory: 100_000, resident: held, ..Report::default() }
+    let resident = vec![Held { model: "base".into(), version: 1, adapters }];
+    Report { orders, memory: 100_000, resident, ..Report::default() }
 }
 
 fn runs(mut report: Report, runs: &[(&str, u64)]) -> Report {
@@ -57,7 +57,7 @@
     report
 }
 
-/// An engine with 8 slots, two places for adapters and a fencing number.
+/// Creates an engine with 8 slots, two adapter slots and a fencing number.
 fn engine() -> Admission {
     let mut admission = Admission::new("upstream-1");
     let model = Model { weights_mb: 50.0, adapter_mb: 1.0 };
@@ -98,16 +98,18 @@
 
 const GRANTED: Verdict = Verdict::Granted { version: Some(1) };
 
+/// Guards against a wait for a load that is not needed. The permit must name the resident
+/// version.
 #[test]
-fn a_held_adapter_is_granted_at_once_with_its_version() {
+fn a_resident_adapter_is_granted_at_once_with_its_version() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
     let actions = engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
     assert_eq!(answers(&actions), [(1, GRANTED)]);
 }
 
-/// An engine comes back from a crash empty. Without its base model it refuses
-/// everything, so the model is ordered first, before any adapter.
+/// An engine is empty after a crash and refuses every request without its base model,
+/// so the model must be ordered before any adapter.
 #[test]
 fn an_empty_engine_gets_its_base_model_first() {
     let mut engine = engine();
@@ -120,8 +122,8 @@
     assert!(matches!(answers(&refused)[..], [(1, Verdict::Refused { why: Refusal::Unready, .. })]));
 }
 
-/// The daemon starts while the store is away. It has no fencing number yet, and
-/// an order under one that is too low could undo its predecessor's.
+/// A sidecar that starts while the store is down has no fencing number. An order
+/// with a number that is too low could undo an order of its predecessor.
 #[test]
 fn nothing_is_ordered_without_a_fencing_number() {
     let mut engine = Admission::new("upstream-1");
@@ -131,9 +133,9 @@
     assert_eq!(orders(&actions), [] as [&Order; 0]);
 }
 
-/// The answer to a load is lost; the engine may carry it out seconds later,
-/// after newer orders. So each order names how many came before it, and none
-/// goes out until a report has shown what became of the last.
+/// A load order whose reply was lost may be carried out seconds later, after newer
+/// orders. So each order names the number of orders before it, and the next is sent
+/// only after a report has shown the effect of the last one.
 #[test]
 fn an_order_waits_for_the_report_after_the_last_one() {
     let mut engine = engine();
@@ -148,10 +150,10 @@
     assert_eq!(orders(&again)[0].after, Some(3));
 }
 
-/// Both places hold adapters; one serves a stream, one is idle. The idle one
-/// makes room, and one that a request waits for never does.
+/// Guards against the eviction of an adapter that is in use or awaited. Both adapter
+/// slots are full, one adapter serves a stream, and the idle one must be evicted.
 #[test]
-fn only_an_unused_adapter_makes_room() {
+fn only_an_unused_adapter_is_evicted() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1), ("tulips", 1)]));
     engine.on_permit_request(at(1), Ticket(1), want("a", "tulips"));
@@ -165,11 +167,11 @@
     assert_eq!(orders(&actions)[0].name, name("lilies"));
 }
 
-/// A new version is announced while a stream runs on the old one. New requests
-/// go elsewhere at once instead of waiting for that stream; when it ends, the
-/// old version goes and the new one is loaded before anybody asks.
+/// A new version is announced while a stream runs on the old one. New requests must
+/// be refused so that they go elsewhere instead of waiting for that stream. When it
+/// ends, the old version is unloaded and the new one loaded ahead of demand.
 #[test]
-fn an_old_version_takes_nothing_new_and_goes_when_unused() {
+fn an_old_version_takes_no_new_requests_and_is_unloaded_when_unused() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
     engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
@@ -186,22 +188,22 @@
     assert_eq!(orders(&actions)[0].target, Target::Load { version: None });
 }
 
-/// The daemon beside an engine has lost the store; entries have not, and their
-/// requests name the newest version. The older one it holds must not run them.
+/// A sidecar that cannot reach the store learns of a new version only from the
+/// requests of entries. It must not run them on its outdated version.
 #[test]
-fn a_request_tells_of_a_newer_version() {
+fn a_request_announces_a_newer_version() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
-    let informed = Want { newest: Some(2), ..want("a", "roses") };
-    let actions = engine.on_permit_request(at(1), Ticket(1), informed);
+    let request = Want { newest: Some(2), ..want("a", "roses") };
+    let actions = engine.on_permit_request(at(1), Ticket(1), request);
     assert_eq!(answers(&actions), []);
     assert_eq!(orders(&actions)[0].target, Target::Unload);
 }
 
-/// An entry dies after it was given a place, before it sent its request. No
-/// report ever shows the request; the place must not be lost for good.
+/// An entry dies after its permit was granted and before it sent the request, so no
+/// report ever shows the request. The permit must not be lost for good.
 #[test]
-fn a_place_that_is_never_used_comes_back() {
+fn an_unused_permit_is_released() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
     engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
@@ -212,10 +214,10 @@
     assert_eq!(engine.load_report().running, 0);
 }
 
-/// An engine restarts under the same id: its count of orders begins anew, and
-/// what ran on it is gone, whatever the entries have not said yet.
+/// An engine restarts with the same id and its order count starts again. Its running
+/// requests are gone even if entries have not reported their end.
 #[test]
-fn a_restart_frees_all_places() {
+fn a_restart_releases_all_permits() {
     let mut engine = engine();
     engine.on_report(at(0), report(5, &[("roses", 1)]));
     engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
@@ -223,10 +225,10 @@
     assert_eq!(engine.load_report().running, 0);
 }
 
-/// An engine is to be taken away within two seconds. Whoever waits there is
-/// sent elsewhere at once, while another engine can still be on time.
+/// An engine leaves within two seconds. Requests that wait there must be refused at
+/// once, while another engine can still meet their latency target.
 #[test]
-fn a_leaving_engine_sends_its_queue_elsewhere() {
+fn a_leaving_engine_refuses_its_queue() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[]));
     engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
@@ -235,10 +237,10 @@
     assert!(matches!(answers(&actions)[..], [(1, Verdict::Refused { why: Refusal::Leaving, .. })]));
 }
 
-/// Prompts come faster than they are read. What the engine cannot read within
-/// a pause of its streams waits here, where an urgent request passes it.
+/// Prompts that the engine cannot prefill within the event gap of its streams must
+/// wait in the sidecar, where an urgent request can overtake them.
 #[test]
-fn an_urgent_request_passes_what_waits() {
+fn an_urgent_request_overtakes_waiting_ones() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
     for ticket in 1..=5 {
@@ -246,16 +248,16 @@
     }
     let urgent = Want { rank: 0, ..want("urgent", "roses") };
     assert_eq!(answers(&engine.on_permit_request(at(2), Ticket(6), urgent)), []);
-    let read = runs(report(0, &[("roses", 1)]), &[("a1", 1), ("a2", 1), ("a3", 1)]);
-    assert_eq!(answers(&engine.on_report(at(250), read.clone())), []);
-    let actions = engine.on_report(at(302), read);
+    let prefilled = runs(report(0, &[("roses", 1)]), &[("a1", 1), ("a2", 1), ("a3", 1)]);
+    assert_eq!(answers(&engine.on_report(at(250), prefilled.clone())), []);
+    let actions = engine.on_report(at(302), prefilled);
     assert_eq!(answers(&actions)[0], (6, GRANTED));
 }
 
-/// A large request waits for memory. Smaller ones behind it would always find
-/// room and keep it waiting for ever, so they do not pass.
+/// A large request waits for memory. Smaller ones behind it would always fit and
+/// starve it, so they must not overtake it.
 #[test]
-fn small_requests_do_not_pass_a_large_one() {
+fn small_requests_do_not_overtake_a_large_one() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
     let sized = |attempt: &str, prompt| {
@@ -272,11 +274,11 @@
     assert_eq!(answers(&actions)[0], (2, GRANTED));
 }
 
-/// After a restart everything is cold. An adapter that five visitors wait for
-/// goes before one that a single visitor asked for earlier: the same load
-/// serves five instead of one.
+/// After a restart no adapter is loaded. An adapter that several requests wait for
+/// must be loaded before one that a single request asked for earlier, as the same
+/// load serves more requests.
 #[test]
-fn what_most_wait_for_is_loaded_first() {
+fn the_most_awaited_adapter_is_loaded_first() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[]));
     engine.on_permit_request(at(1), Ticket(1), want("a", "first"));
@@ -292,16 +294,15 @@
     assert_eq!(orders(&actions)[0].name, name("popular"));
 }
 
-/// A load gets no answer, then the engine crashes and comes back empty, counting
-/// its orders anew. Seconds later, when the count is again the one that the load
-/// names, it is carried out after all. The engine had been filled to its last place
-/// by then, crashed, and cut every stream on it.
+/// A load gets no reply, and the engine restarts empty with a new order count. When the
+/// count reaches the value that the load names, the engine carries it out. Without a
+/// free adapter slot at that time, the engine crashes and all its streams break.
 #[test]
-fn a_late_load_from_before_a_restart_finds_a_place() {
+fn a_slot_is_kept_for_a_late_load_from_before_a_restart() {
     let mut engine = engine();
     engine.on_report(at(0), report(2, &[]));
-    let lost = engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
-    assert_eq!(orders(&lost)[0].after, Some(2));
+    let unanswered = engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
+    assert_eq!(orders(&unanswered)[0].after, Some(2));
     engine.on_reply(at(801), Reply::Unknown);
     engine.on_cancel(at(802), Ticket(1));
     engine.on_report_failure(at(1_000));
@@ -309,22 +310,25 @@
     engine.on_report(at(4_000), report(2, &[("lilies", 1)]));
     let running = engine.on_permit_request(at(4_001), Ticket(2), want("b", "lilies"));
     assert_eq!(answers(&running), [(2, GRANTED)]);
-    let waits = engine.on_permit_request(at(4_002), Ticket(3), want("c", "tulips"));
-    assert_eq!(orders(&waits), Vec::<&Order>::new());
-    let passed = engine.on_report(at(4_100), report(3, &[("lilies", 1)]));
-    assert_eq!(orders(&passed)[0].name, name("tulips"));
+    let delayed = engine.on_permit_request(at(4_002), Ticket(3), want("c", "tulips"));
+    assert_eq!(orders(&delayed), Vec::<&Order>::new());
+    let resumed = engine.on_report(at(4_100), report(3, &[("lilies", 1)]));
+    assert_eq!(orders(&resumed)[0].name, name("tulips"));
 }
 
-/// Entries ask for a copy of an adapter whose other engines are busy. It is loaded
-/// before what one caller waits for, as it serves many, and room is made for it;
-/// one that could not be loaded in time is forgotten.
+/// Entries request a replica of an adapter whose other engines are busy. It must be
+/// loaded before an adapter that one caller waits for, with an eviction if needed. A
+/// request that could not be met in time must expire.
 #[test]
-fn a_copy_that_entries_ask_for_is_loaded_first() {
+fn a_requested_replica_is_loaded_first() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("old", 1), ("roses", 1)]));
     engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
-    let room = engine.on_replica_request(at(2), name("popular"));
-    assert_eq!((&orders(&room)[0].name, orders(&room)[0].target), (&name("old"), Target::Unload));
+    let eviction = engine.on_replica_request(at(2), name("popular"));
+    assert_eq!(
+        (&orders(&eviction)[0].name, orders(&eviction)[0].target),
+        (&name("old"), Target::Unload)
+    );
     engine.on_permit_request(at(3), Ticket(2), want("b", "rare"));
     engine.on_reply(at(4), Reply::Holds);
     let actions = engine.on_report(at(5), report(1, &[("roses", 1)]));
@@ -335,12 +339,12 @@
     assert_eq!(orders(&late.on_report(at(2_100), report(0, &[]))), Vec::<&Order>::new());
 }
 
-/// Many ask for adapters that the engine has to load one after the other. One
-/// more caller was told to come back when the queue would be just short enough
-/// to take it in, came back together with all others who were told so, and was
-/// refused for good. It is told when those who wait now will have been served.
+/// Many requests wait for adapters that are loaded one after the other. If refused
+/// callers retried when the queue was just short enough for one of them, they would
+/// return together and most would be refused for good. So the delay must cover the
+/// whole queue.
 #[test]
-fn a_refused_caller_comes_back_when_the_queue_is_served() {
+fn a_refused_caller_retries_after_the_queue_is_served() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[]));
     for ticket in 1..7 {
@@ -353,10 +357,10 @@
     assert!(after >= Span::from_millis(6 * 250), "{after:?}");
 }
 
-/// A caller waited for a load as long as that was of use. What is before it
-/// still has to be loaded when it is told to come back.
+/// A request expires while it waits for a load. The loads ahead of it are still to be
+/// done, so its caller must not be told to retry at once.
 #[test]
-fn a_caller_who_waited_in_vain_does_not_come_back_at_once() {
+fn an_expired_request_is_not_retried_at_once() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[]));
     for ticket in 1..5 {
@@ -369,27 +373,27 @@
     assert!(after >= Span::from_millis(3 * 250), "{after:?}");
 }
 
-/// Many cold adapters are asked for at once on all engines, 72 a second where
-/// the store gives 32. It serves eight at full speed and slows in proportion
-/// beyond, so engines that each keep four on their way get every load late.
-/// Engines that see how slow their loads are have fewer on their way. Played
-/// with 18 engines for ten seconds, 4 of 720 got their place within 650 ms
-/// without that, and 96 with it.
+/// Guards against too many concurrent loads. All engines together get 72 requests for
+/// cold adapters a second, and the store serves 32. It runs eight loads at full speed
+/// and slows in proportion beyond, so engines with four loads each get all of them
+/// late. Engines that adapt to slow loads grant 96 of 720 permits within 650 ms, the
+/// others 4 (18 engines, ten seconds).
 #[test]
-fn slow_loads_make_an_engine_order_fewer_at_once() {
-    let in_time = play_cold_requests(18, 10_000);
+fn slow_loads_reduce_concurrent_loads() {
+    let in_time = simulate_cold_requests(18, 10_000);
     assert!(in_time >= 80, "{in_time}");
 }
 
-/// Plays cold requests, one each 250 ms at each engine; how many got a place
-/// within 650 ms, which leaves 150 ms of the aim to read the prompt.
-fn play_cold_requests(count: usize, until: u64) -> u32 {
+/// Simulates requests for cold adapters, one each 250 ms at each engine. Returns how
+/// many got a permit within 650 ms, which leaves 150 ms of the latency target for
+/// prefill.
+fn simulate_cold_requests(count: usize, until: u64) -> u32 {
     const STEP: u64 = 10;
-    let mut engines: Vec<_> = (0..count).map(|_| PlayedEngine::new()).collect();
+    let mut engines: Vec<_> = (0..count).map(|_| SimulatedEngine::new()).collect();
     let mut in_time = 0;
     for now in (0..until).step_by(STEP as usize) {
-        let on_way: usize = engines.iter().map(|engine| engine.pending.len()).sum();
-        let speed = (8.0 / on_way.max(1) as f64).min(1.0);
+        let loading: usize = engines.iter().map(|engine| engine.pending.len()).sum();
+        let speed = (8.0 / loading.max(1) as f64).min(1.0);
         for (number, engine) in engines.iter_mut().enumerate() {
             let asks = (now / STEP + number as u64).is_multiple_of(250 / STEP);
             in_time += engine.step(now, STEP as f64 * speed, asks);
@@ -398,25 +402,25 @@
     in_time
 }
 
-struct PlayedEngine {
+struct SimulatedEngine {
     admission: Admission,
     orders: u64,
-    held: Vec<String>,
-    /// Adapters on their way, with the milliseconds left at full speed.
+    resident: Vec<String>,
+    /// Adapters being loaded, with the milliseconds left at full speed.
     pending: Vec<(String, f64)>,
-    asked: BTreeMap<u64, u64>,
+    asked_at: BTreeMap<u64, u64>,
 }
 
-impl PlayedEngine {
-    fn new() -> PlayedEngine {
+impl SimulatedEngine {
+    fn new() -> SimulatedEngine {
         let mut admission = engine();
         admission.on_spec(Engine { slots: 48, memory: 1_000_000, places: 60, ..Engine::default() });
-        PlayedEngine {
+        SimulatedEngine {
             admission,
             orders: 0,
-            held: Vec::new(),
+            resident: Vec::new(),
             pending: Vec::new(),
-            asked: BTreeMap::new(),
+            asked_at: BTreeMap::new(),
         }
     }
 
@@ -424,28 +428,29 @@
         for (_, left) in &mut self.pending {
             *left -= loaded;
         }
-        let (here, rest) = self.pending.drain(..).partition(|(_, left)| *left <= 0.0);
+        let (loaded_now, rest) = self.pending.drain(..).partition(|(_, left)| *left <= 0.0);
         self.pending = rest;
-        self.held.extend(here.into_iter().map(|(name, _): (String, f64)| name));
-        let held: Vec<(&str, u32)> = self.held.iter().map(|name| (name.as_str(), 1)).collect();
-        let mut shown = report(self.orders, &held);
+        self.resident.extend(loaded_now.into_iter().map(|(name, _): (String, f64)| name));
+        let resident: Vec<(&str, u32)> =
+            self.resident.iter().map(|name| (name.as_str(), 1)).collect();
+        let mut shown = report(self.orders, &resident);
         shown.pending = self.pending.iter().map(|(adapter, _)| (name(adapter), 1)).collect();
         let mut actions = self.admission.on_report(at(now), shown);
         if asks {
-            let ticket = self.asked.len() as u64;
-            self.asked.insert(ticket, now);
+            let ticket = self.asked_at.len() as u64;
+            self.asked_at.insert(ticket, now);
             let cold = want(&format!("r{ticket}"), &format!("cold{ticket}"));
             actions.extend(self.admission.on_permit_request(at(now), Ticket(ticket), cold));
         }
-        self.carry_out(now, &actions)
+        self.apply_actions(now, &actions)
     }
 
-    fn carry_out(&mut self, now: u64, actions: &[Action]) -> u32 {
+    fn apply_actions(&mut self, now: u64, actions: &[Action]) -> u32 {
         let mut in_time = 0;
         for action in actions {
             match action {
                 Action::Answer(Ticket(ticket), Verdict::Granted { .. }) => {
-                    in_time += u32::from(now - self.asked[ticket] <= 650);
+                    in_time += u32::from(now - self.asked_at[ticket] <= 650);
                     self.admission.on_request_end(at(now), &format!("r{ticket}"));
                 }
                 Action::Answer(..) => {}
--- a/kingcupbay_core/tests/load_report.rs
+++ b/kingcupbay_core/tests/load_report.rs
@@ -1,4 +1,4 @@
-//! What entries are told of an engine.
+//! Tests of the load reports that a sidecar sends to an entry.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,74 +14,76 @@
     Instant::from_micros(1_000_000 + millis * 1_000)
 }
 
-fn pressure(running: u32, adapters: &[(&str, u32)]) -> Pressure {
+fn load_report(running: u32, adapters: &[(&str, u32)]) -> Pressure {
     let adapters = adapters.iter().map(|&(name, version)| (name.to_owned(), version)).collect();
     let held = vec![Held { model: "base".into(), version: 1, adapters }];
     Pressure { running, slots: 64, open: true, held: Some(held), ..Pressure::default() }
 }
 
-/// Tells `pressure` at each of `times`; how often it went, and how often with
-/// the adapters.
-fn tell(
-    told: &mut LoadReporter,
+/// Offers `current` to the reporter at each of `times`. Returns how many reports were
+/// sent, and how many of them included the adapters.
+fn send(
+    reporter: &mut LoadReporter,
     times: impl Iterator<Item = u64>,
-    pressure: &Pressure,
+    current: &Pressure,
 ) -> (u32, u32) {
     let mut count = (0, 0);
     for time in times {
-        let Some(news) = told.next(at(time), pressure) else { continue };
-        told.on_answer(at(time), true);
+        let Some(report) = reporter.next(at(time), current) else { continue };
+        reporter.on_answer(at(time), true);
         count.0 += 1;
-        count.1 += u32::from(news.held.is_some());
+        count.1 += u32::from(report.held.is_some());
     }
     count
 }
 
-/// A minute of an engine that holds the same adapters and whose load hardly
-/// moves: four messages a second with all adapters before, two without them
-/// now.
+/// Guards against reports without new information. An engine whose adapters stay the
+/// same and whose load hardly changes must be reported twice a second, and only once
+/// with its adapters, instead of four times a second with all of them.
 #[test]
-fn what_is_known_is_not_told_again() {
-    let mut told = LoadReporter::default();
-    let steady = pressure(13, &[("roses", 1)]);
-    assert_eq!(tell(&mut told, (0..60_000).step_by(250), &steady), (120, 1));
+fn known_load_is_not_sent_again() {
+    let mut reporter = LoadReporter::default();
+    let steady = load_report(13, &[("roses", 1)]);
+    assert_eq!(send(&mut reporter, (0..60_000).step_by(250), &steady), (120, 1));
 }
 
+/// Guards against choices based on outdated reports. A change of load, delay, adapters or
+/// readiness that affects the choice of an engine must be sent before the next heartbeat.
 #[test]
-fn what_changes_a_choice_is_told_at_once() {
-    let mut told = LoadReporter::default();
-    tell(&mut told, 0..1, &pressure(13, &[("roses", 1)]));
-    assert_eq!(told.next(at(10), &pressure(15, &[("roses", 1)])), None);
-    let busier = told.next(at(20), &pressure(19, &[("roses", 1)])).unwrap();
+fn relevant_changes_are_sent_at_once() {
+    let mut reporter = LoadReporter::default();
+    send(&mut reporter, 0..1, &load_report(13, &[("roses", 1)]));
+    assert_eq!(reporter.next(at(10), &load_report(15, &[("roses", 1)])), None);
+    let busier = reporter.next(at(20), &load_report(19, &[("roses", 1)])).unwrap();
     assert_eq!((busier.running, busier.held), (19, None));
-    let newer = told.next(at(30), &pressure(19, &[("roses", 2)])).unwrap();
+    let newer = reporter.next(at(30), &load_report(19, &[("roses", 2)])).unwrap();
     assert!(newer.held.is_some());
-    let delayed = Pressure { delay: Span::from_millis(90), ..pressure(19, &[("roses", 2)]) };
-    told.on_answer(at(30), true);
-    assert!(told.next(at(40), &delayed).is_some());
+    let delayed = Pressure { delay: Span::from_millis(90), ..load_report(19, &[("roses", 2)]) };
+    reporter.on_answer(at(30), true);
+    assert!(reporter.next(at(40), &delayed).is_some());
     let closed = Pressure { open: false, ..delayed };
-    assert!(told.next(at(50), &closed).is_some());
+    assert!(reporter.next(at(50), &closed).is_some());
 }
 
-/// The answer to a message is lost, or an entry was restarted and has forgotten
-/// everything. It must learn the adapters again: without them it would send
-/// their requests to engines that have to load them first.
+/// The answer to a report is lost, or an entry restarts and loses its state. It must
+/// receive the adapters again, or it would send their requests to engines that have
+/// to load them first.
 #[test]
-fn an_entry_that_lacks_the_adapters_is_told_them() {
-    let mut told = LoadReporter::default();
-    let held = pressure(13, &[("roses", 1)]);
-    assert!(told.next(at(0), &held).unwrap().held.is_some());
-    assert!(told.next(at(250), &held).unwrap().held.is_some());
-    // The late answer to the first message says nothing of the second.
-    told.on_answer(at(0), true);
-    assert!(told.next(at(500), &held).unwrap().held.is_some());
-    told.on_answer(at(500), true);
+fn an_entry_that_lacks_the_adapters_is_sent_them() {
+    let mut reporter = LoadReporter::default();
+    let current = load_report(13, &[("roses", 1)]);
+    assert!(reporter.next(at(0), &current).unwrap().held.is_some());
+    assert!(reporter.next(at(250), &current).unwrap().held.is_some());
+    // The stale answer to the first report says nothing about the second.
+    reporter.on_answer(at(0), true);
+    assert!(reporter.next(at(500), &current).unwrap().held.is_some());
+    reporter.on_answer(at(500), true);
     let engine = "127.0.0.1:1".parse().unwrap();
     let mut entry = Placement::default();
-    let heartbeat = told.next(at(1_000), &held).unwrap();
-    told.on_answer(at(1_000), entry.on_pressure(at(1_001), engine, heartbeat));
-    let whole = told.next(at(1_250), &held).unwrap();
-    assert!(entry.on_pressure(at(1_251), engine, whole));
+    let heartbeat = reporter.next(at(1_000), &current).unwrap();
+    reporter.on_answer(at(1_000), entry.on_pressure(at(1_001), engine, heartbeat));
+    let complete = reporter.next(at(1_250), &current).unwrap();
+    assert!(entry.on_pressure(at(1_251), engine, complete));
     let roses = AdapterName { model: "base".into(), adapter: Some("roses".into()) };
     assert_eq!(entry.held(engine, &roses), Some(1));
 }
--- a/kingcupbay_core/tests/lost_messages.rs
+++ b/kingcupbay_core/tests/lost_messages.rs
@@ -1,5 +1,5 @@
-//! Every message about a place lost, doubled or late, and its sender's death:
-//! all combinations for three requests.
+//! Simulates three requests whose messages about permits are lost, duplicated or late,
+//! or whose sender dies, in all combinations.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,62 +16,62 @@
     },
 };
 
-/// Places of the engine.
+/// Requests that the engine runs at once.
 const SLOTS: u32 = 3;
 
-/// What becomes of one request.
+/// What happens to one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
-    /// It runs, ends, and its end is told.
-    Ends,
-    /// Its end is told twice.
-    EndsTwice,
-    /// Its end is never told.
-    EndIsLost,
-    /// Its end is told 2 s late, when the engine has long forgotten it.
-    EndIsLate,
-    /// The entry dies after it asked; nobody hears the verdict.
-    VerdictIsLost,
-    /// Its caller leaves before any report shows it; its end is told at once,
-    /// and a report that was on its way still shows it.
-    LeavesEarly,
-    /// Its caller leaves while it runs; the engine stops, and the end is told.
-    LeavesLate,
-    /// The same attempt asks again, as an entry that got no answer would.
-    AsksTwice,
+enum Scenario {
+    /// It runs and ends, and its end is reported.
+    Normal,
+    /// Its end is reported twice.
+    DuplicateEnd,
+    /// Its end is never reported.
+    LostEnd,
+    /// Its end is reported 2 s late, when the engine no longer knows it.
+    LateEnd,
+    /// The entry dies after it requested a permit, so nobody receives the verdict.
+    LostVerdict,
+    /// Its caller cancels before any report shows it. Its end is reported at once,
+    /// but a report sent earlier still shows it.
+    EarlyCancel,
+    /// Its caller cancels while it runs; the engine stops, and the end is reported.
+    LateCancel,
+    /// The same attempt requests a permit twice, like an entry that got no answer.
+    DuplicateRequest,
 }
 
-const FATES: [Fate; 8] = [
-    Fate::Ends,
-    Fate::EndsTwice,
-    Fate::EndIsLost,
-    Fate::EndIsLate,
-    Fate::VerdictIsLost,
-    Fate::LeavesEarly,
-    Fate::LeavesLate,
-    Fate::AsksTwice,
+const SCENARIOS: [Scenario; 8] = [
+    Scenario::Normal,
+    Scenario::DuplicateEnd,
+    Scenario::LostEnd,
+    Scenario::LateEnd,
+    Scenario::LostVerdict,
+    Scenario::EarlyCancel,
+    Scenario::LateCancel,
+    Scenario::DuplicateRequest,
 ];
 
-impl Fate {
-    /// Milliseconds in which reports show it.
+impl Scenario {
+    /// Returns the milliseconds in which reports show it.
     fn shown(self) -> std::ops::Range<u64> {
         match self {
-            Fate::VerdictIsLost => 0..0,
-            Fate::LeavesEarly => 0..70,
-            Fate::LeavesLate => 0..400,
+            Scenario::LostVerdict => 0..0,
+            Scenario::EarlyCancel => 0..70,
+            Scenario::LateCancel => 0..400,
             _ => 0..900,
         }
     }
 
-    /// When its end is told, in milliseconds.
-    fn told(self) -> Vec<u64> {
+    /// Returns the times at which its end is reported, in milliseconds.
+    fn ends_at(self) -> Vec<u64> {
         match self {
-            Fate::Ends | Fate::AsksTwice => vec![900],
-            Fate::EndsTwice => vec![900, 960],
-            Fate::EndIsLate => vec![2_900],
-            Fate::EndIsLost | Fate::VerdictIsLost => vec![],
-            Fate::LeavesEarly => vec![20],
-            Fate::LeavesLate => vec![420],
+            Scenario::Normal | Scenario::DuplicateRequest => vec![900],
+            Scenario::DuplicateEnd => vec![900, 960],
+            Scenario::LateEnd => vec![2_900],
+            Scenario::LostEnd | Scenario::LostVerdict => vec![],
+            Scenario::EarlyCancel => vec![20],
+            Scenario::LateCancel => vec![420],
         }
     }
 }
@@ -99,30 +99,33 @@
     actions.iter().filter(granted).count()
 }
 
-/// Plays three requests with these fates for six seconds of reports.
-fn play(fates: &[Fate; 3]) -> Admission {
+/// Simulates three requests with these scenarios for six seconds of reports.
+fn simulate(scenarios: &[Scenario; 3]) -> Admission {
     let mut engine = Admission::new("upstream-1");
     engine.on_spec(Engine { slots: SLOTS, memory: 100_000, places: 2, ..Engine::default() });
     let adapters = [("roses".to_owned(), 1)].into();
-    let held = vec![Held { model: "base".into(), version: 1, adapters }];
-    let empty = Report { memory: 100_000, resident: held, ..Report::default() };
+    let resident = vec![Held { model: "base".into(), version: 1, adapters }];
+    let empty = Report { memory: 100_000, resident, ..Report::default() };
     engine.on_report(at(0), empty.clone());
-    for (index, fate) in fates.iter().enumerate() {
+    for (index, scenario) in scenarios.iter().enumerate() {
         let attempt = format!("a{index}");
         engine.on_permit_request(at(1), Ticket(index as u64), want(&attempt));
-        if *fate == Fate::AsksTwice {
+        if *scenario == Scenario::DuplicateRequest {
             engine.on_permit_request(at(2), Ticket(10 + index as u64), want(&attempt));
         }
     }
     for now in (10..6_000).step_by(10) {
-        for (index, fate) in fates.iter().enumerate() {
-            if fate.told().contains(&now) {
+        for (index, scenario) in scenarios.iter().enumerate() {
+            if scenario.ends_at().contains(&now) {
                 engine.on_request_end(at(now), &format!("a{index}"));
             }
         }
         if now % 60 == 0 {
-            let shown = fates.iter().enumerate().filter(|(_, fate)| fate.shown().contains(&now));
-            let run = |(index, _): (usize, &Fate)| Run {
+            let shown = scenarios
+                .iter()
+                .enumerate()
+                .filter(|(_, scenario)| scenario.shown().contains(&now));
+            let run = |(index, _): (usize, &Scenario)| Run {
                 attempt: format!("a{index}"),
                 tokens: 100 + now / 10,
                 events: 1 + now / 30,
@@ -130,32 +133,32 @@
             let runs = shown.map(run).collect();
             engine.on_report(at(now), Report { runs, ..empty.clone() });
         }
-        assert!(engine.load_report().running <= SLOTS, "{fates:?} at {now} ms");
+        assert!(engine.load_report().running <= SLOTS, "{scenarios:?} at {now} ms");
     }
     engine
 }
 
-/// Whatever becomes of the messages about three requests, a few seconds later
-/// every place is back: none was lost with a message, and none came back twice.
+/// Guards against permits that are never released or released twice. Whatever happens
+/// to the messages, all permits are free a few seconds later, and no more than those.
 #[test]
-fn every_place_comes_back_once() {
-    for first in FATES {
-        for second in FATES {
-            for third in FATES {
-                let fates = [first, second, third];
-                let mut engine = play(&fates);
-                assert_eq!(engine.load_report().running, 0, "{fates:?}");
-                assert_eq!(engine.load_report().waiting, 0, "{fates:?}");
-                let mut places = 0;
+fn every_permit_is_released_once() {
+    for first in SCENARIOS {
+        for second in SCENARIOS {
+            for third in SCENARIOS {
+                let scenarios = [first, second, third];
+                let mut engine = simulate(&scenarios);
+                assert_eq!(engine.load_report().running, 0, "{scenarios:?}");
+                assert_eq!(engine.load_report().waiting, 0, "{scenarios:?}");
+                let mut permits = 0;
                 for ticket in 0..u64::from(SLOTS) + 1 {
                     let actions = engine.on_permit_request(
                         at(6_000),
                         Ticket(100 + ticket),
                         want(&format!("b{ticket}")),
                     );
-                    places += granted(&actions);
+                    permits += granted(&actions);
                 }
-                assert_eq!(places, SLOTS as usize, "{fates:?}");
+                assert_eq!(permits, SLOTS as usize, "{scenarios:?}");
             }
         }
     }
