--- a/kingcupbay_core/src/admission/estimate.rs
+++ b/kingcupbay_core/src/admission/estimate.rs
@@ -13,29 +13,30 @@
 pub(super) const DEFAULT_EVENT_GAP: Span = Span::from_millis(300);
 
 impl Admission {
-    /// Returns why no permit request such as `want` is accepted now, if so.
-    pub(super) fn refusal_reason(&self, want: &Want) -> Option<Refusal> {
+    /// Returns why `request` cannot be accepted now; `None` if it can.
+    pub(super) fn refusal_reason(&self, request: &Want) -> Option<Refusal> {
         let Some(report) = &self.report else { return Some(Refusal::Unready) };
         if report.leaving {
             return Some(Refusal::Leaving);
         }
-        if !report.has_model(&want.name) {
+        if !report.has_model(&request.name) {
             return Some(Refusal::Unready);
         }
-        if want.size.total() > self.usable_memory(report) {
+        if request.size.total() > self.usable_memory(report) {
             return Some(Refusal::TooLarge);
         }
         // A replacement waits until no request uses the old version, which would
         // delay this request for seconds. Another engine loads the new version in
         // a quarter of a second.
-        let outdated =
-            report.version(&want.name).is_some_and(|version| self.is_outdated(&want.name, version));
-        (outdated && self.is_used(&want.name)).then_some(Refusal::Replacing)
+        let outdated = report
+            .version(&request.name)
+            .is_some_and(|version| self.is_outdated(&request.name, version));
+        (outdated && self.is_used(&request.name)).then_some(Refusal::Replacing)
     }
 
-    /// Returns the expected time until `want` gets a permit.
-    pub(super) fn estimate_wait(&self, now: Instant, want: &Want) -> Span {
-        let ahead = self.running.unread_tokens() + self.queue.prompt_tokens_before(want.rank);
+    /// Returns the expected time until `request` gets a permit.
+    pub(super) fn estimate_wait(&self, now: Instant, request: &Want) -> Span {
+        let ahead = self.running.unread_tokens() + self.queue.prompt_tokens_before(request.rank);
         let prefill = self.prefill_wait(ahead.saturating_sub(self.prefill_limit().burst_tokens()));
         let full = self.running.len() + self.queue.len() >= self.spec.slots.max(1) as usize;
         let slot = match full {
@@ -45,7 +46,7 @@
             }
             false => Span::ZERO,
         };
-        prefill.max(self.load_wait(now, &want.name)).max(slot)
+        prefill.max(self.load_wait(now, &request.name)).max(slot)
     }
 
     /// Returns the event gap to keep: the shortest of all running requests.
--- a/kingcupbay_core/src/admission/mod.rs
+++ b/kingcupbay_core/src/admission/mod.rs
@@ -132,24 +132,29 @@
     }
 
     /// Queues a permit request, or refuses it at once.
-    pub fn on_permit_request(&mut self, now: Instant, ticket: Ticket, want: Want) -> Vec<Action> {
-        if let Some(newest) = want.newest {
-            self.on_version(want.name.clone(), newest);
+    pub fn on_permit_request(
+        &mut self,
+        now: Instant,
+        ticket: Ticket,
+        request: Want,
+    ) -> Vec<Action> {
+        if let Some(newest) = request.newest {
+            self.on_version(request.name.clone(), newest);
         }
-        if let Some(refusal) = self.refusal_reason(&want) {
+        if let Some(refusal) = self.refusal_reason(&request) {
             let after = if refusal == Refusal::Unready { BASE_MODEL_RETRY } else { MIN_RETRY };
             return vec![refuse(ticket, refusal, after)];
         }
-        let estimate = self.estimate_wait(now, &want);
-        if estimate > want.patience {
+        let estimate = self.estimate_wait(now, &request);
+        if estimate > request.patience {
             // The delay is the time to serve the whole current queue. A shorter
             // one would bring all refused callers back together, and most
             // callers retry only once.
             let after = estimate.max(MIN_RETRY);
             return vec![refuse(ticket, Refusal::Busy, after)];
         }
-        self.orders.on_use(now, &want.name);
-        self.queue.push(Waiter::new(now, ticket, want));
+        self.orders.on_use(now, &request.name);
+        self.queue.push(Waiter::new(now, ticket, request));
         self.schedule(now)
     }
 
@@ -285,7 +290,7 @@
     fn schedule(&mut self, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         for waiter in self.queue.expire(now) {
-            let after = self.estimate_wait(now, &waiter.want).max(MIN_RETRY);
+            let after = self.estimate_wait(now, &waiter.request).max(MIN_RETRY);
             actions.push(refuse(waiter.ticket, Refusal::Busy, after));
         }
         self.refuse_unservable(&mut actions);
@@ -299,7 +304,7 @@
             report,
             newest: &self.newest_versions,
             used: &used,
-            wanted: &self.queue.load_order(&order),
+            awaited: &self.queue.load_order(&order),
             loads: &self.loads,
         };
         if let Some((name, target)) = self.orders.plan(now, &input) {
@@ -344,25 +349,25 @@
                 return;
             }
             let Some(waiter) = self.queue.get(ticket) else { continue };
-            let want = &waiter.want;
-            let Some(version) = report.version(&want.name) else { continue };
-            if self.newest_versions.get(&want.name).is_some_and(|&newest| version < newest) {
+            let request = &waiter.request;
+            let Some(version) = report.version(&request.name) else { continue };
+            if self.newest_versions.get(&request.name).is_some_and(|&newest| version < newest) {
                 continue;
             }
             // Smaller requests do not overtake a large one, which would starve it.
             let unread = self.running.unread_tokens();
-            if reserved + want.size.total() > memory {
+            if reserved + request.size.total() > memory {
                 return;
             }
-            if !self.recent_grants.fits(limit, unread, want.size.prompt) {
+            if !self.recent_grants.fits(limit, unread, request.size.prompt) {
                 self.running.on_prefill_delayed();
                 return;
             }
-            let version = want.name.adapter.is_some().then_some(version);
+            let version = request.name.adapter.is_some().then_some(version);
             free_slots -= 1;
-            reserved += want.size.total();
-            self.recent_grants.on_grant(now, want.size.prompt);
-            self.running.on_grant(now, want);
+            reserved += request.size.total();
+            self.recent_grants.on_grant(now, request.size.prompt);
+            self.running.on_grant(now, request);
             self.queue.remove(ticket);
             actions.push(Action::Answer(ticket, Verdict::Granted { version }));
         }
--- a/kingcupbay_core/src/admission/orders.rs
+++ b/kingcupbay_core/src/admission/orders.rs
@@ -46,7 +46,7 @@
     /// Adapters used by running requests.
     pub(super) used: &'a [&'a AdapterName],
     /// Adapters that queued requests wait for, in the order in which to load them.
-    pub(super) wanted: &'a [AdapterName],
+    pub(super) awaited: &'a [AdapterName],
     pub(super) loads: &'a LoadLimiter,
 }
 
@@ -248,7 +248,7 @@
                 && input.loads.may_start(now, name, report.pending.len())
         };
         let has_slot = report.used_adapter_slots() + reserved < input.spec.places as usize;
-        if let Some(name) = self.replica_requests.keys().chain(input.wanted).find(absent) {
+        if let Some(name) = self.replica_requests.keys().chain(input.awaited).find(absent) {
             return match has_slot {
                 true => Some((name.clone(), LOAD_NEWEST)),
                 false => self.eviction_candidate(input).map(|evicted| (evicted, Target::Unload)),
@@ -262,7 +262,7 @@
     fn eviction_candidate(&self, input: &PlanInput<'_>) -> Option<AdapterName> {
         let free = |name: &AdapterName| {
             !input.used.contains(&name)
-                && !input.wanted.contains(name)
+                && !input.awaited.contains(name)
                 && !input.report.is_pending(name)
                 && self.may_order(name)
         };
--- a/kingcupbay_core/src/admission/queue.rs
+++ b/kingcupbay_core/src/admission/queue.rs
@@ -24,30 +24,30 @@
     /// Identifies the permit request.
     pub ticket: Ticket,
     /// The permit request.
-    pub want: Want,
+    pub request: Want,
     /// Arrival time.
     queued_at: Instant,
 }
 
 impl Waiter {
     /// Creates a waiter that arrived at `now`.
-    pub fn new(now: Instant, ticket: Ticket, want: Want) -> Waiter {
-        Waiter { ticket, want, queued_at: now }
+    pub fn new(now: Instant, ticket: Ticket, request: Want) -> Waiter {
+        Waiter { ticket, request, queued_at: now }
     }
 
     /// Returns the time after which a permit is no longer useful.
     fn deadline(&self) -> Instant {
-        self.queued_at + self.want.patience
+        self.queued_at + self.request.patience
     }
 
     /// Whether it can meet its latency target with a permit granted after `wait`.
     fn can_meet_target(&self, now: Instant, wait: Span) -> bool {
-        now + wait + PREFILL_TIME <= self.queued_at + self.want.aim
+        now + wait + PREFILL_TIME <= self.queued_at + self.request.aim
     }
 
     /// Returns its position in the order of priority; the earlier time goes first.
     fn priority_time(&self) -> Instant {
-        self.queued_at + Span::from_micros(PRIORITY_STEP.as_micros() * u64::from(self.want.rank))
+        self.queued_at + Span::from_micros(PRIORITY_STEP.as_micros() * u64::from(self.request.rank))
     }
 }
 
@@ -92,7 +92,7 @@
     /// for an adapter.
     pub fn grant_order(&self, now: Instant, wait: impl Fn(&AdapterName) -> Span) -> Vec<Ticket> {
         let sort_key = |waiter: &Waiter| {
-            let late = !waiter.can_meet_target(now, wait(&waiter.want.name));
+            let late = !waiter.can_meet_target(now, wait(&waiter.request.name));
             (late, waiter.priority_time(), waiter.ticket)
         };
         let mut order: Vec<_> = self.waiters.values().map(sort_key).collect();
@@ -107,7 +107,7 @@
         let mut counts: BTreeMap<&AdapterName, (usize, usize)> = BTreeMap::new();
         let waiters = tickets.iter().filter_map(|ticket| self.get(*ticket));
         for (turn, waiter) in waiters.enumerate() {
-            counts.entry(&waiter.want.name).or_insert((0, turn)).0 += 1;
+            counts.entry(&waiter.request.name).or_insert((0, turn)).0 += 1;
         }
         let mut names: Vec<_> = counts.into_iter().collect();
         names.sort_unstable_by_key(|&(_, (count, turn))| (std::cmp::Reverse(count), turn));
@@ -116,18 +116,18 @@
 
     /// Returns the adapters that requests wait for, without duplicates.
     pub fn awaited_adapters(&self) -> BTreeSet<&AdapterName> {
-        self.waiters.values().map(|waiter| &waiter.want.name).collect()
+        self.waiters.values().map(|waiter| &waiter.request.name).collect()
     }
 
     /// Returns the prompt tokens of all waiting requests.
     pub fn prompt_tokens(&self) -> u64 {
-        self.waiters.values().map(|waiter| waiter.want.size.prompt).sum()
+        self.waiters.values().map(|waiter| waiter.request.size.prompt).sum()
     }
 
     /// Returns the prompt tokens of requests of this `priority` or a more urgent one.
     pub fn prompt_tokens_before(&self, priority: u8) -> u64 {
-        let before = self.waiters.values().filter(|waiter| waiter.want.rank <= priority);
-        before.map(|waiter| waiter.want.size.prompt).sum()
+        let before = self.waiters.values().filter(|waiter| waiter.request.rank <= priority);
+        before.map(|waiter| waiter.request.size.prompt).sum()
     }
 
     /// Returns the number of waiting requests.
--- a/kingcupbay_core/src/admission/running.rs
+++ b/kingcupbay_core/src/admission/running.rs
@@ -51,17 +51,17 @@
 
 impl Running {
     /// Records a granted permit.
-    pub(super) fn on_grant(&mut self, now: Instant, want: &Want) {
+    pub(super) fn on_grant(&mut self, now: Instant, request: &Want) {
         let alone = self.unread_tokens() == 0;
         for run in self.runs.values_mut().filter(|run| run.events == 0) {
             run.alone = false;
         }
         self.prefilling = true;
         let run = RunningRequest {
-            name: want.name.clone(),
-            reserved: want.size.total(),
-            prompt: want.size.prompt,
-            event_gap: want.gap,
+            name: request.name.clone(),
+            reserved: request.size.total(),
+            prompt: request.size.prompt,
+            event_gap: request.gap,
             granted_at: now,
             seen_at: None,
             events: 0,
@@ -69,7 +69,7 @@
             alone,
             delayed_others: false,
         };
-        self.runs.insert(want.attempt.clone(), run);
+        self.runs.insert(request.attempt.clone(), run);
     }
 
     /// Removes a request that has ended and returns its adapter.
--- a/kingcupbay_core/tests/admission.rs
+++ b/kingcupbay_core/tests/admission.rs
@@ -26,7 +26,7 @@
     AdapterName { model: "base".into(), adapter: Some(adapter.into()) }
 }
 
-fn want(attempt: &str, adapter: &str) -> Want {
+fn permit_request(attempt: &str, adapter: &str) -> Want {
     Want {
         attempt: attempt.into(),
         name: name(adapter),
@@ -104,7 +104,7 @@
 fn a_resident_adapter_is_granted_at_once_with_its_version() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
-    let actions = engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
+    let actions = engine.on_permit_request(at(1), Ticket(1), permit_request("a", "roses"));
     assert_eq!(answers(&actions), [(1, GRANTED)]);
 }
 
@@ -118,7 +118,7 @@
     let base = AdapterName { model: "base".into(), adapter: None };
     let [order] = orders(&actions)[..] else { panic!("{actions:?}") };
     assert_eq!((&order.name, order.after, order.fencing), (&base, Some(0), 7));
-    let refused = engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
+    let refused = engine.on_permit_request(at(1), Ticket(1), permit_request("a", "roses"));
     assert!(matches!(answers(&refused)[..], [(1, Verdict::Refused { why: Refusal::Unready, .. })]));
 }
 
@@ -129,7 +129,7 @@
     let mut engine = Admission::new("upstream-1");
     engine.on_spec(Engine { slots: 8, places: 2, ..Engine::default() });
     engine.on_report(at(0), report(0, &[]));
-    let actions = engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
+    let actions = engine.on_permit_request(at(1), Ticket(1), permit_request("a", "roses"));
     assert_eq!(orders(&actions), [] as [&Order; 0]);
 }
 
@@ -140,9 +140,9 @@
 fn an_order_waits_for_the_report_after_the_last_one() {
     let mut engine = engine();
     engine.on_report(at(0), report(3, &[]));
-    let first = engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
+    let first = engine.on_permit_request(at(1), Ticket(1), permit_request("a", "roses"));
     assert_eq!(orders(&first)[0].after, Some(3));
-    let second = engine.on_permit_request(at(2), Ticket(2), want("b", "tulips"));
+    let second = engine.on_permit_request(at(2), Ticket(2), permit_request("b", "tulips"));
     assert_eq!(orders(&second).len(), 0);
     engine.on_reply(at(900), Reply::Unknown);
     assert_eq!(orders(&engine.on_tick(at(901))).len(), 0);
@@ -156,12 +156,12 @@
 fn only_an_unused_adapter_is_evicted() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1), ("tulips", 1)]));
-    engine.on_permit_request(at(1), Ticket(1), want("a", "tulips"));
-    let actions = engine.on_permit_request(at(2), Ticket(2), want("b", "lilies"));
+    engine.on_permit_request(at(1), Ticket(1), permit_request("a", "tulips"));
+    let actions = engine.on_permit_request(at(2), Ticket(2), permit_request("b", "lilies"));
     let [order] = orders(&actions)[..] else { panic!("{actions:?}") };
     assert_eq!((&order.name, order.target), (&name("roses"), Target::Unload));
     engine.on_reply(at(3), Reply::Holds);
-    engine.on_permit_request(at(4), Ticket(3), want("c", "roses"));
+    engine.on_permit_request(at(4), Ticket(3), permit_request("c", "roses"));
     let busy = runs(report(1, &[("tulips", 1)]), &[("a", 1)]);
     let actions = engine.on_report(at(5), busy);
     assert_eq!(orders(&actions)[0].name, name("lilies"));
@@ -174,9 +174,9 @@
 fn an_old_version_takes_no_new_requests_and_is_unloaded_when_unused() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
-    engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
+    engine.on_permit_request(at(1), Ticket(1), permit_request("a", "roses"));
     engine.on_version(name("roses"), 2);
-    let refused = engine.on_permit_request(at(2), Ticket(2), want("b", "roses"));
+    let refused = engine.on_permit_request(at(2), Ticket(2), permit_request("b", "roses"));
     assert!(matches!(
         answers(&refused)[..],
         [(2, Verdict::Refused { why: Refusal::Replacing, .. })]
@@ -194,7 +194,7 @@
 fn a_request_announces_a_newer_version() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
-    let request = Want { newest: Some(2), ..want("a", "roses") };
+    let request = Want { newest: Some(2), ..permit_request("a", "roses") };
     let actions = engine.on_permit_request(at(1), Ticket(1), request);
     assert_eq!(answers(&actions), []);
     assert_eq!(orders(&actions)[0].target, Target::Unload);
@@ -206,7 +206,7 @@
 fn an_unused_permit_is_released() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
-    engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
+    engine.on_permit_request(at(1), Ticket(1), permit_request("a", "roses"));
     assert_eq!(engine.load_report().running, 1);
     engine.on_report(at(2_000), report(0, &[("roses", 1)]));
     assert_eq!(engine.load_report().running, 1);
@@ -220,7 +220,7 @@
 fn a_restart_releases_all_permits() {
     let mut engine = engine();
     engine.on_report(at(0), report(5, &[("roses", 1)]));
-    engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
+    engine.on_permit_request(at(1), Ticket(1), permit_request("a", "roses"));
     engine.on_report(at(100), report(0, &[]));
     assert_eq!(engine.load_report().running, 0);
 }
@@ -231,7 +231,7 @@
 fn a_leaving_engine_refuses_its_queue() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[]));
-    engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
+    engine.on_permit_request(at(1), Ticket(1), permit_request("a", "roses"));
     let leaving = Report { leaving: true, ..report(0, &[]) };
     let actions = engine.on_report(at(20), leaving);
     assert!(matches!(answers(&actions)[..], [(1, Verdict::Refused { why: Refusal::Leaving, .. })]));
@@ -244,9 +244,13 @@
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
     for ticket in 1..=5 {
-        engine.on_permit_request(at(1), Ticket(ticket), want(&format!("a{ticket}"), "roses"));
+        engine.on_permit_request(
+            at(1),
+            Ticket(ticket),
+            permit_request(&format!("a{ticket}"), "roses"),
+        );
     }
-    let urgent = Want { rank: 0, ..want("urgent", "roses") };
+    let urgent = Want { rank: 0, ..permit_request("urgent", "roses") };
     assert_eq!(answers(&engine.on_permit_request(at(2), Ticket(6), urgent)), []);
     let prefilled = runs(report(0, &[("roses", 1)]), &[("a1", 1), ("a2", 1), ("a3", 1)]);
     assert_eq!(answers(&engine.on_report(at(250), prefilled.clone())), []);
@@ -262,14 +266,17 @@
     engine.on_report(at(0), report(0, &[("roses", 1)]));
     let sized = |attempt: &str, prompt| {
         let size = Size { prompt, output: 90_000 };
-        Want { size, ..want(attempt, "roses") }
+        Want { size, ..permit_request(attempt, "roses") }
     };
     assert_eq!(
         answers(&engine.on_permit_request(at(1), Ticket(1), sized("a", 10))),
         [(1, GRANTED)]
     );
     assert_eq!(answers(&engine.on_permit_request(at(2), Ticket(2), sized("b", 10))), []);
-    assert_eq!(answers(&engine.on_permit_request(at(3), Ticket(3), want("c", "roses"))), []);
+    assert_eq!(
+        answers(&engine.on_permit_request(at(3), Ticket(3), permit_request("c", "roses"))),
+        []
+    );
     let actions = engine.on_request_end(at(4), "a");
     assert_eq!(answers(&actions)[0], (2, GRANTED));
 }
@@ -281,10 +288,14 @@
 fn the_most_awaited_adapter_is_loaded_first() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[]));
-    engine.on_permit_request(at(1), Ticket(1), want("a", "first"));
-    engine.on_permit_request(at(2), Ticket(2), want("b", "rare"));
+    engine.on_permit_request(at(1), Ticket(1), permit_request("a", "first"));
+    engine.on_permit_request(at(2), Ticket(2), permit_request("b", "rare"));
     for ticket in 3..6 {
-        engine.on_permit_request(at(3), Ticket(ticket), want(&format!("c{ticket}"), "popular"));
+        engine.on_permit_request(
+            at(3),
+            Ticket(ticket),
+            permit_request(&format!("c{ticket}"), "popular"),
+        );
     }
     engine.on_reply(at(4), Reply::Accepted);
     let mut shown = report(1, &[]);
@@ -301,16 +312,16 @@
 fn a_slot_is_kept_for_a_late_load_from_before_a_restart() {
     let mut engine = engine();
     engine.on_report(at(0), report(2, &[]));
-    let unanswered = engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
+    let unanswered = engine.on_permit_request(at(1), Ticket(1), permit_request("a", "roses"));
     assert_eq!(orders(&unanswered)[0].after, Some(2));
     engine.on_reply(at(801), Reply::Unknown);
     engine.on_cancel(at(802), Ticket(1));
     engine.on_report_failure(at(1_000));
     engine.on_report(at(2_000), report(0, &[]));
     engine.on_report(at(4_000), report(2, &[("lilies", 1)]));
-    let running = engine.on_permit_request(at(4_001), Ticket(2), want("b", "lilies"));
+    let running = engine.on_permit_request(at(4_001), Ticket(2), permit_request("b", "lilies"));
     assert_eq!(answers(&running), [(2, GRANTED)]);
-    let delayed = engine.on_permit_request(at(4_002), Ticket(3), want("c", "tulips"));
+    let delayed = engine.on_permit_request(at(4_002), Ticket(3), permit_request("c", "tulips"));
     assert_eq!(orders(&delayed), Vec::<&Order>::new());
     let resumed = engine.on_report(at(4_100), report(3, &[("lilies", 1)]));
     assert_eq!(orders(&resumed)[0].name, name("tulips"));
@@ -323,13 +334,13 @@
 fn a_requested_replica_is_loaded_first() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("old", 1), ("roses", 1)]));
-    engine.on_permit_request(at(1), Ticket(1), want("a", "roses"));
+    engine.on_permit_request(at(1), Ticket(1), permit_request("a", "roses"));
     let eviction = engine.on_replica_request(at(2), name("popular"));
     assert_eq!(
         (&orders(&eviction)[0].name, orders(&eviction)[0].target),
         (&name("old"), Target::Unload)
     );
-    engine.on_permit_request(at(3), Ticket(2), want("b", "rare"));
+    engine.on_permit_request(at(3), Ticket(2), permit_request("b", "rare"));
     engine.on_reply(at(4), Reply::Holds);
     let actions = engine.on_report(at(5), report(1, &[("roses", 1)]));
     assert_eq!(orders(&actions)[0].name, name("popular"));
@@ -348,9 +359,13 @@
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[]));
     for ticket in 1..7 {
-        engine.on_permit_request(at(1), Ticket(ticket), want("a", &format!("cold-{ticket}")));
+        engine.on_permit_request(
+            at(1),
+            Ticket(ticket),
+            permit_request("a", &format!("cold-{ticket}")),
+        );
     }
-    let actions = engine.on_permit_request(at(2), Ticket(7), want("b", "cold-7"));
+    let actions = engine.on_permit_request(at(2), Ticket(7), permit_request("b", "cold-7"));
     let [(7, Verdict::Refused { why: Refusal::Busy, after })] = answers(&actions)[..] else {
         panic!("{actions:?}")
     };
@@ -364,7 +379,11 @@
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[]));
     for ticket in 1..5 {
-        engine.on_permit_request(at(ticket), Ticket(ticket), want("a", &format!("cold-{ticket}")));
+        engine.on_permit_request(
+            at(ticket),
+            Ticket(ticket),
+            permit_request("a", &format!("cold-{ticket}")),
+        );
     }
     let actions = engine.on_tick(at(1_601));
     let [(1, Verdict::Refused { why: Refusal::Busy, after })] = answers(&actions)[..] else {
@@ -439,7 +458,7 @@
         if asks {
             let ticket = self.asked_at.len() as u64;
             self.asked_at.insert(ticket, now);
-            let cold = want(&format!("r{ticket}"), &format!("cold{ticket}"));
+            let cold = permit_request(&format!("r{ticket}"), &format!("cold{ticket}"));
             actions.extend(self.admission.on_permit_request(at(now), Ticket(ticket), cold));
         }
         self.apply_actions(now, &actions)
--- a/kingcupbay_core/tests/engine/mod.rs
+++ b/kingcupbay_core/tests/engine/mod.rs
@@ -93,8 +93,8 @@
             let Some((id, (at, size))) = arrivals.next() else { unreachable!("it was peeked") };
             let ticket = Ticket(id as u64);
             waiting.insert(ticket, (at, size));
-            let want = want(id, size, profile.target_ms);
-            actions.extend(admission.on_permit_request(instant(now), ticket, want));
+            let request = permit_request(id, size, profile.target_ms);
+            actions.extend(admission.on_permit_request(instant(now), ticket, request));
         } else if step_end <= now {
             step_end = now + step(profile, now, slowdown, &mut streams);
             let ended = |stream: &Stream| stream.tokens >= stream.output;
@@ -204,7 +204,7 @@
     AdapterName { model: "base".into(), adapter: Some("roses".into()) }
 }
 
-fn want(id: usize, size: Size, target: u64) -> Want {
+fn permit_request(id: usize, size: Size, target: u64) -> Want {
     Want {
         attempt: format!("a{id}"),
         name: name(),
--- a/kingcupbay_core/tests/lost_messages.rs
+++ b/kingcupbay_core/tests/lost_messages.rs
@@ -80,7 +80,7 @@
     Instant::from_micros(1_000_000 + millis * 1_000)
 }
 
-fn want(attempt: &str) -> Want {
+fn permit_request(attempt: &str) -> Want {
     Want {
         attempt: attempt.into(),
         name: AdapterName { model: "base".into(), adapter: Some("roses".into()) },
@@ -109,9 +109,9 @@
     engine.on_report(at(0), empty.clone());
     for (index, scenario) in scenarios.iter().enumerate() {
         let attempt = format!("a{index}");
-        engine.on_permit_request(at(1), Ticket(index as u64), want(&attempt));
+        engine.on_permit_request(at(1), Ticket(index as u64), permit_request(&attempt));
         if *scenario == Scenario::DuplicateRequest {
-            engine.on_permit_request(at(2), Ticket(10 + index as u64), want(&attempt));
+            engine.on_permit_request(at(2), Ticket(10 + index as u64), permit_request(&attempt));
         }
     }
     for now in (10..6_000).step_by(10) {
@@ -154,7 +154,7 @@
                     let actions = engine.on_permit_request(
                         at(6_000),
                         Ticket(100 + ticket),
-                        want(&format!("b{ticket}")),
+                        permit_request(&format!("b{ticket}")),
                     );
                     permits += granted(&actions);
                 }
