--- /dev/null
+++ b/kingcupbay_core/src/admission/load_report.rs
@@ -0,0 +1,65 @@
+//! Decides which load reports an entry is sent.
+//!
+//! Every sidecar sends load reports to every entry, and the smallest hosts have
+//! narrow links. Most reports would contain nothing new: adapters stay loaded for
+//! seconds, and small changes of load do not affect which engine an entry chooses.
+
+use crate::{
+    time::{Instant, Span},
+    wire::sidecar::Pressure,
+};
+
+/// Interval of reports without changes, so that a silent sidecar is detected: an
+/// entry treats it as gone after three missing reports.
+const HEARTBEAT_INTERVAL: Span = Span::from_millis(500);
+
+/// Change of running and waiting requests that is reported at once, in percent of
+/// the slots. An engine counts as busy from 40 percent on.
+const LOAD_CHANGE_PERCENT: u32 = 8;
+
+/// Change of the time to prefill waiting prompts that is reported at once. Latency
+/// targets are about ten times as long.
+const DELAY_CHANGE: Span = Span::from_millis(80);
+
+/// State of the load reports sent to one entry.
+#[derive(Clone, Debug, Default)]
+pub struct LoadReporter {
+    last: Option<Pressure>,
+    sent_at: Instant,
+    /// Whether the entry has received the adapters of `last`.
+    acknowledged: bool,
+}
+
+impl LoadReporter {
+    /// Returns the report to send now, if any. It includes the resident adapters only
+    /// if the entry lacks them.
+    pub fn next(&mut self, now: Instant, report: &Pressure) -> Option<Pressure> {
+        let same_adapters = self.last.as_ref().is_some_and(|last| last.held == report.held);
+        let known = self.acknowledged && same_adapters;
+        let changed = self.last.as_ref().is_none_or(|last| load_changed(last, report));
+        if known && !changed && now.since(self.sent_at) < HEARTBEAT_INTERVAL {
+            return None;
+        }
+        self.sent_at = now;
+        self.acknowledged = known;
+        self.last = Some(report.clone());
+        let held = if known { None } else { report.held.clone() };
+        Some(Pressure { held, ..report.clone() })
+    }
+
+    /// Applies the entry's answer to the report sent at `at`: whether it knows the
+    /// resident adapters. An answer to an older report is ignored.
+    pub fn on_answer(&mut self, at: Instant, acknowledged: bool) {
+        if at == self.sent_at {
+            self.acknowledged = acknowledged;
+        }
+    }
+}
+
+fn load_changed(last: &Pressure, now: &Pressure) -> bool {
+    let load = |pressure: &Pressure| pressure.running + pressure.waiting;
+    let change = load(last).abs_diff(load(now)) * 100;
+    last.open != now.open
+        || change >= now.slots.max(1) * LOAD_CHANGE_PERCENT
+        || last.delay.abs_diff(now.delay) >= DELAY_CHANGE
+}
