--- a/kingcupbayd/tests/common/mod.rs
+++ b/kingcupbayd/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Separate processes for tests: stand-ins, daemons, and a caller.
+//! Helpers for tests with separate processes: stand-ins, daemons and a caller.
 
 #![allow(dead_code, clippy::unwrap_used)]
 
@@ -26,16 +26,16 @@
 use kingcupbay_standin::Control;
 use serde_json::{Value, json};
 
-/// Longest wait for an event; only a failed test waits so long.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for an event. Only a failing test reaches it.
+pub(crate) const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause between two looks at a state that a test waits for.
-const LOOK: Duration = Duration::from_millis(10);
+/// Pause between two checks of a state that a test waits for.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The caller's secret in every test.
+/// Access key of the caller in every test.
 pub(crate) const SECRET: &str = "kcb_secret_of_the_caller";
 
-/// A program under test; killed when dropped.
+/// A program under test, killed when dropped.
 pub(crate) struct Process {
     child: Child,
     lines: Receiver<String>,
@@ -48,7 +48,7 @@
 impl Process {
     /// Starts a program and waits until it listens.
     pub(crate) fn start(program: &str, args: &[String]) -> Process {
-        let mut child = Command::new(built(program))
+        let mut child = Command::new(binary_path(program))
             .args(args)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
@@ -65,17 +65,17 @@
         });
         let mut process = Process { child, lines, listening: BTreeMap::new(), seen: Vec::new() };
         let line = process.wait_line("event=listening");
-        process.listening = pairs(&line);
+        process.listening = parse_pairs(&line);
         process
     }
 
-    /// Waits for a line that holds `text`; earlier lines count too.
+    /// Waits for a line that contains `text`; earlier lines count too.
     pub(crate) fn wait_line(&mut self, text: &str) -> String {
         if let Some(line) = self.seen.iter().find(|line| line.contains(text)) {
             return line.clone();
         }
         loop {
-            let line = self.lines.recv_timeout(PATIENCE).unwrap_or_else(|_| {
+            let line = self.lines.recv_timeout(EVENT_TIMEOUT).unwrap_or_else(|_| {
                 panic!("no line with {text:?} among:\n{}", self.seen.join("\n"))
             });
             self.seen.push(line.clone());
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Whether a line that holds `text` has come. It does not wait: a test
-    /// whose stand-ins run on its own thread would stop them.
+    /// Whether a line that contains `text` has been written. It does not wait,
+    /// as that would block stand-ins that run on the test's own thread.
     pub(crate) fn has_line(&mut self, text: &str) -> bool {
         self.seen.extend(self.lines.try_iter());
         self.seen.iter().any(|line| line.contains(text))
@@ -103,14 +103,15 @@
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     }
 
-    /// Waits for its end and tells whether it was a success.
+    /// Waits for the process to end; returns whether it succeeded, and its
+    /// lines.
     pub(crate) fn wait(mut self) -> (bool, Vec<String>) {
         let ok = self.child.wait().unwrap().success();
         self.seen.extend(self.lines.iter());
         (ok, std::mem::take(&mut self.seen))
     }
 
-    /// Kills it without warning.
+    /// Kills the process with SIGKILL.
     pub(crate) fn kill(mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -124,42 +125,44 @@
     }
 }
 
-/// Key=value pairs of a log line; quoted values lose their quotes.
-pub(crate) fn pairs(line: &str) -> BTreeMap<String, String> {
+/// Parses the key=value pairs of a log line, without the quotes of values.
+pub(crate) fn parse_pairs(line: &str) -> BTreeMap<String, String> {
     let words = line.split(' ').filter_map(|word| word.split_once('='));
     words.map(|(key, value)| (key.to_owned(), value.trim_matches('"').to_owned())).collect()
 }
 
-pub(crate) fn built(program: &str) -> PathBuf {
+/// The path of another program of the workspace, which must be built.
+pub(crate) fn binary_path(program: &str) -> PathBuf {
     let daemon = PathBuf::from(env!("CARGO_BIN_EXE_kingcupbayd"));
     let path = daemon.with_file_name(program);
     assert!(path.exists(), "build the workspace's programs first: {}", path.display());
     path
 }
 
-/// A name known to be valid.
+/// Parses a valid name.
 pub(crate) fn name(text: &str) -> Name {
     text.parse().unwrap()
 }
 
-fn strings(args: &[&str]) -> Vec<String> {
+fn to_strings(args: &[&str]) -> Vec<String> {
     args.iter().map(|&arg| arg.to_owned()).collect()
 }
 
-/// A stand-in of `role` with a control address.
-pub(crate) fn standin(role: &str, args: &[&str]) -> Process {
-    let mut all = strings(&[role, "--listen", "127.0.0.1:0", "--control", "127.0.0.1:0"]);
-    all.extend(strings(args));
+/// Starts a stand-in of `role` with a control address.
+pub(crate) fn start_standin(role: &str, args: &[&str]) -> Process {
+    let mut all = to_strings(&[role, "--listen", "127.0.0.1:0", "--control", "127.0.0.1:0"]);
+    all.extend(to_strings(args));
     Process::start("kingcupbay_standin", &all)
 }
 
-/// Switches faults of a stand-in.
+/// A client that injects faults into a stand-in and reads its state.
 pub(crate) fn control(process: &Process) -> Control {
     Control::new(process.address("control"))
 }
 
-/// A daemon with the usual settings of tests and what `tuning` adds.
-pub(crate) fn daemon(role: &str, host: &str, platform: &Process, tuning: &str) -> Process {
+/// Starts a daemon with the usual settings of tests; `tuning` is added to
+/// `[tuning]`.
+pub(crate) fn start_daemon(role: &str, host: &str, platform: &Process, tuning: &str) -> Process {
     let at = platform.address("address");
     let callers = match role {
         "entry" => "[callers]\nlisten = 127.0.0.1:0\nbody_timeout_ms = 1000\n",
@@ -180,8 +183,8 @@
     process
 }
 
-/// Changes that a district's desk needs: one organisation, key and adapter.
-pub(crate) fn basics() -> Vec<Change> {
+/// Changes for one organisation with a key and an adapter in two versions.
+pub(crate) fn basic_changes() -> Vec<Change> {
     vec![
         Change::SetOrganisation { name: name("winery"), rate: 10_000, burst: 100_000 },
         Change::IssueKey {
@@ -214,13 +217,14 @@
     }
 }
 
-/// A model's upstream at `engine`, owned by the daemon on `host`.
+/// The change that adds a model's upstream at `engine`, owned by the daemon on
+/// `host`.
 pub(crate) fn model_upstream(text: &str, host: &str, engine: &Process) -> Change {
     let serves = Serves::Model { base: name("base"), slots: 8, fenced: true };
     upstream(text, host, engine, serves)
 }
 
-/// A plain service's upstream.
+/// The change that adds a plain service's upstream.
 pub(crate) fn service_upstream(text: &str, host: &str, service: &Process) -> Change {
     upstream(text, host, service, Serves::Service { service: name("booking") })
 }
@@ -233,40 +237,45 @@
     Change::SetUpstream { upstream }
 }
 
-/// A client without a pool that could hide what happened to a connection.
+/// A client that keeps no idle connections: a pool would hide what happened to
+/// a connection.
 pub(crate) fn client() -> awc::Client {
     let connector = awc::Connector::new().conn_keep_alive(Duration::ZERO);
     awc::Client::builder().connector(connector).disable_timeout().finish()
 }
 
-/// Waits until `look` finds something.
-pub(crate) async fn until<T, F: AsyncFnMut() -> Option<T>>(what: &str, mut look: F) -> T {
-    let rounds = PATIENCE.as_millis() / LOOK.as_millis();
+/// Polls `check` until it returns a value; panics after [`EVENT_TIMEOUT`].
+pub(crate) async fn wait_until<T, F: AsyncFnMut() -> Option<T>>(what: &str, mut check: F) -> T {
+    let rounds = EVENT_TIMEOUT.as_millis() / POLL_INTERVAL.as_millis();
     for _ in 0..rounds {
-        if let Some(found) = look().await {
+        if let Some(found) = check().await {
             return found;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("waited in vain for {what}");
+    panic!("timed out waiting for {what}");
 }
 
-/// Text of `GET path` on an operators' port.
-pub(crate) async fn get(process: &Process, path: &str) -> String {
+/// The body of `GET path` on an operators' port.
+pub(crate) async fn get_text(process: &Process, path: &str) -> String {
     let url = format!("http://{}{path}", process.address("operators"));
     let mut response = client().get(url).send().await.unwrap();
     String::from_utf8(response.body().limit(64 << 20).await.unwrap().to_vec()).unwrap()
 }
 
 /// Waits until a daemon is ready.
-pub(crate) async fn ready(process: &Process) {
-    until("readiness", async || (get(process, "/ready").await == "ready\n").then_some(())).await;
+pub(crate) async fn wait_until_ready(process: &Process) {
+    wait_until("readiness", async || {
+        (get_text(process, "/ready").await == "ready\n").then_some(())
+    })
+    .await;
 }
 
-/// Waits until a daemon knows configuration `number`.
-pub(crate) async fn knows(process: &Process, number: u64) {
-    until("the configuration", async || {
-        let status: Value = serde_json::from_str(&get(process, "/admin/status").await).unwrap();
+/// Waits until a daemon uses configuration `number` or a later one.
+pub(crate) async fn wait_for_number(process: &Process, number: u64) {
+    wait_until("the configuration", async || {
+        let status: Value =
+            serde_json::from_str(&get_text(process, "/admin/status").await).unwrap();
         (status["number"].as_u64().unwrap() >= number).then_some(())
     })
     .await;
@@ -280,10 +289,12 @@
     (response.status().as_u16(), serde_json::from_slice(&body).unwrap())
 }
 
-/// Makes `changes` the next configuration, against whatever is in force.
-pub(crate) async fn apply(process: &Process, changes: &[Change]) -> u64 {
+/// Applies `changes` to the configuration in force, again when another patch
+/// came first, and returns the new configuration number.
+pub(crate) async fn apply_changes(process: &Process, changes: &[Change]) -> u64 {
     for attempt in 0..100u8 {
-        let config: Config = serde_json::from_str(&get(process, "/admin/config").await).unwrap();
+        let config: Config =
+            serde_json::from_str(&get_text(process, "/admin/config").await).unwrap();
         let mut id = [attempt; 16];
         id[1..9].copy_from_slice(&config.number.0.to_le_bytes());
         let patch = Patch {
@@ -302,7 +313,7 @@
     panic!("the configuration changes all the time");
 }
 
-/// An answer to a caller.
+/// An answer as a caller receives it.
 pub(crate) struct Answer {
     /// HTTP status.
     pub(crate) status: u16,
@@ -319,13 +330,13 @@
         value["error"]["code"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Whether the failed request ran.
+    /// The field `ran` of an error: whether the request ran.
     pub(crate) fn ran(&self) -> String {
         let value: Value = serde_json::from_str(&self.body).unwrap();
         value["error"]["ran"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// The JSON of each event, without the end mark.
+    /// The JSON of each event, without the final `[DONE]`.
     pub(crate) fn events(&self) -> Vec<Value> {
         let data = self.body.split("\n\n").filter_map(|event| event.strip_prefix("data: "));
         data.filter(|data| *data != "[DONE]").map(|d| serde_json::from_str(d).unwrap()).collect()
@@ -337,20 +348,20 @@
         texts.iter().filter_map(|event| event["choices"][0]["text"].as_str()).collect()
     }
 
-    /// The request id of the first event.
+    /// The request id in the first event.
     pub(crate) fn request(&self) -> RequestId {
         self.events()[0]["id"].as_str().unwrap().parse().unwrap()
     }
 }
 
-/// A request of a caller with the usual headers.
-pub(crate) fn ask(entry: &Process, path: &str) -> awc::ClientRequest {
+/// Builds a caller's request with the usual headers.
+pub(crate) fn build_request(entry: &Process, path: &str) -> awc::ClientRequest {
     let url = format!("http://{}{path}", entry.address("callers"));
     client().post(url).insert_header(("x-deadline-ms", "30000")).bearer_auth(SECRET)
 }
 
 /// Sends a request and reads its whole answer.
-pub(crate) async fn finish(request: awc::ClientRequest, body: &Value) -> Answer {
+pub(crate) async fn send_request(request: awc::ClientRequest, body: &Value) -> Answer {
     let mut response = request.send_json(body).await.unwrap();
     let retry_after = response.headers().get("retry-after");
     let retry_after = retry_after.and_then(|value| value.to_str().ok()?.parse().ok());
@@ -359,8 +370,8 @@
     Answer { status: response.status().as_u16(), retry_after, body }
 }
 
-/// A streamed text completion of `tokens` tokens.
-pub(crate) fn completion(model: &str, tokens: u32) -> Value {
+/// The body of a request for a streamed text completion of `tokens` tokens.
+pub(crate) fn completion_body(model: &str, tokens: u32) -> Value {
     json!({"model": model, "prompt": "a tour of two wineries", "max_tokens": tokens, "stream": true})
 }
 
@@ -374,40 +385,40 @@
 }
 
 impl Fleet {
-    /// Starts everything, configured and ready.
+    /// Starts all processes and waits until they are ready and configured.
     pub(crate) async fn start(
         entries: usize,
         engines: usize,
         engine: &[&str],
         tuning: &str,
     ) -> Fleet {
-        let platform = standin("platform", &["--load", "1"]);
+        let platform = start_standin("platform", &["--load", "1"]);
         let mut args = vec!["--fenced", "--load", "1"];
         args.extend(engine);
-        let engines: Vec<_> = (0..engines).map(|_| standin("engine", &args)).collect();
+        let engines: Vec<_> = (0..engines).map(|_| start_standin("engine", &args)).collect();
         let host = |role: &str, at: usize| format!("{role}-{}", at + 1);
-        let start = |role: &str, at| daemon(role, &host(role, at), &platform, tuning);
+        let start = |role: &str, at| start_daemon(role, &host(role, at), &platform, tuning);
         let upstreams: Vec<_> = (0..engines.len()).map(|at| start("upstream", at)).collect();
         let entries: Vec<_> = (0..entries).map(|at| start("entry", at)).collect();
         for process in upstreams.iter().chain(&entries) {
-            ready(process).await;
+            wait_until_ready(process).await;
         }
-        let mut changes = basics();
+        let mut changes = basic_changes();
         for (at, engine) in engines.iter().enumerate() {
             changes.push(model_upstream(&host("gpu", at), &host("upstream", at), engine));
         }
-        let number = apply(&entries[0], &changes).await;
+        let number = apply_changes(&entries[0], &changes).await;
         for process in upstreams.iter().chain(&entries) {
-            knows(process, number).await;
+            wait_for_number(process, number).await;
         }
         Fleet { platform, engines, upstreams, entries, number }
     }
 
-    /// Applies changes and waits until every daemon knows them.
+    /// Applies changes and waits until every daemon uses them.
     pub(crate) async fn apply(&mut self, changes: &[Change]) {
-        self.number = apply(&self.entries[0], changes).await;
+        self.number = apply_changes(&self.entries[0], changes).await;
         for process in self.upstreams.iter().chain(&self.entries) {
-            knows(process, self.number).await;
+            wait_for_number(process, self.number).await;
         }
     }
 }
--- a/kingcupbayd/tests/common/registered.rs
+++ b/kingcupbayd/tests/common/registered.rs
@@ -1,5 +1,5 @@
-//! Daemons of a registered fleet as separate processes, before stand-ins of
-//! the platform's store, plain services and engines.
+//! Daemons of a registered fleet as separate processes, with stand-ins for the
+//! platform's store, the plain services and the engines.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -8,11 +8,13 @@
 };
 use serde_json::Value;
 
-use super::{Process, client, until};
+use super::{Process, client, wait_until};
 
+/// API key of the organisation in every test.
 pub(crate) const KEY: &str = "key-of-the-winery";
 
-pub(crate) const ANY: SocketAddr =
+/// Loopback address whose port the kernel chooses.
+pub(crate) const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 /// A store with one configuration, and an entry that follows it.
@@ -21,8 +23,9 @@
     pub(crate) entry: Process,
 }
 
-/// The configuration `version`, in which the winery holds `keys`.
-pub(crate) fn config(version: u64, keys: &[&str]) -> Value {
+/// The store row of configuration `version`, in which the organisation holds
+/// `keys`.
+pub(crate) fn config_row(version: u64, keys: &[&str]) -> Value {
     let route = |name, kind, service, attempts| DeclaredRoute {
         name,
         kind,
@@ -51,7 +54,8 @@
     declared.row()
 }
 
-pub(crate) fn settings(role: &str, host: &str, store: SocketAddr, rest: &str) -> String {
+/// The settings of a daemon; `rest` is added to `[registry]`.
+pub(crate) fn settings_text(role: &str, host: &str, store: SocketAddr, rest: &str) -> String {
     let callers = match role {
         "entry" => "[callers]\nlisten = 127.0.0.1:0\n",
         _ => "",
@@ -63,61 +67,68 @@
     )
 }
 
-pub(crate) fn start(role: &str, host: &str, store: &Registry, rest: &str) -> Process {
+/// Starts a daemon with [`settings_text`].
+pub(crate) fn start_daemon(role: &str, host: &str, store: &Registry, rest: &str) -> Process {
     let at = store.server().address();
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let file = dir.join(format!("{}-{host}-{}.ini", std::process::id(), at.port()));
-    std::fs::write(&file, settings(role, host, at, rest)).unwrap();
+    std::fs::write(&file, settings_text(role, host, at, rest)).unwrap();
     let args = vec!["--config".to_owned(), file.display().to_string()];
     let process = Process::start("kingcupbayd", &args);
     std::fs::remove_file(&file).unwrap();
     process
 }
 
-pub(crate) fn entry(host: &str, store: &Registry, sidecars: u16) -> Process {
-    start("entry", host, store, &format!("ready = 127.0.0.1:0\nsidecars = {sidecars}\n"))
+/// Starts an entry; the sidecars listen at port `sidecars`.
+pub(crate) fn start_entry(host: &str, store: &Registry, sidecars: u16) -> Process {
+    start_daemon("entry", host, store, &format!("ready = 127.0.0.1:0\nsidecars = {sidecars}\n"))
 }
 
-pub(crate) fn sidecar(host: &str, store: &Registry, engine: &Runner) -> Process {
+/// Starts the sidecar of `engine`.
+pub(crate) fn start_sidecar(host: &str, store: &Registry, engine: &Runner) -> Process {
     let engine = engine.server().address();
-    start("upstream", host, store, &format!("engine = {engine}\nservice = writer\n"))
+    start_daemon("upstream", host, store, &format!("engine = {engine}\nservice = writer\n"))
 }
 
 impl Fleet {
-    /// An entry that knows `config(1)`; sidecars listen at `sidecars`.
+    /// Starts a store with configuration 1 and an entry that follows it;
+    /// sidecars listen at port `sidecars`.
     pub(crate) async fn start(sidecars: u16) -> Fleet {
-        let store = Registry::start(ANY).unwrap();
-        store.put("op", "config", &config(1, &[KEY]));
-        let entry = entry("entry-1", &store, sidecars);
+        let store = Registry::start(ANY_PORT).unwrap();
+        store.put("op", "config", &config_row(1, &[KEY]));
+        let entry = start_entry("entry-1", &store, sidecars);
         Fleet { store, entry }
     }
 
+    /// Registers `upstream` in the store as a ready instance of `service`.
     pub(crate) fn register(&self, id: &str, service: &str, upstream: &Runner) {
         self.store.put("servers", id, &upstream.registration(service, "ready"));
     }
 
-    /// Waits until the entry says that it is ready.
-    pub(crate) async fn ready(&self) {
+    /// Waits until the entry reports readiness.
+    pub(crate) async fn wait_until_ready(&self) {
         let url = format!("http://{}/ready", self.entry.address("ready"));
-        until("readiness", async || {
+        wait_until("readiness", async || {
             let answer = client().get(&url).send().await.ok()?;
             answer.status().is_success().then_some(())
         })
         .await;
     }
 
-    pub(crate) async fn ask(&self, method: &str, path: &str, attempt: &str) -> Got {
-        self.ask_with(method, path, attempt, KEY, &[]).await
+    /// Sends a request with the usual key and reads the answer.
+    pub(crate) async fn send(&self, method: &str, path: &str, attempt: &str) -> CallerAnswer {
+        self.send_with(method, path, attempt, KEY, &[]).await
     }
 
-    pub(crate) async fn ask_with(
+    /// Sends a request with `key` and further `headers` and reads the answer.
+    pub(crate) async fn send_with(
         &self,
         method: &str,
         path: &str,
         attempt: &str,
         key: &str,
         headers: &[(&str, &str)],
-    ) -> Got {
+    ) -> CallerAnswer {
         let url = format!("http://{}{path}", self.entry.address("callers"));
         let method = method.parse().unwrap();
         let mut request = client()
@@ -134,54 +145,68 @@
             let value = response.headers().get(name)?.to_str().ok()?;
             Some(value.to_owned())
         };
-        let (stamp, retry_after) = (text("x-response-stamp"), text("retry-after"));
+        let (signature, retry_after) = (text("x-response-stamp"), text("retry-after"));
         let status = response.status().as_u16();
         let body = response.body().limit(1 << 20).await;
         let body = body.map(|body| String::from_utf8(body.to_vec()).unwrap());
-        Got { status, stamp, retry_after, body: body.map_err(|error| error.to_string()) }
+        CallerAnswer {
+            status,
+            signature,
+            retry_after,
+            body: body.map_err(|error| error.to_string()),
+        }
     }
 }
 
-/// What a caller got.
+/// An answer as the caller receives it.
 #[derive(Debug)]
-pub(crate) struct Got {
+pub(crate) struct CallerAnswer {
+    /// HTTP status.
     pub(crate) status: u16,
-    pub(crate) stamp: Option<String>,
+    /// Header `x-response-stamp`.
+    pub(crate) signature: Option<String>,
+    /// Header `retry-after`.
     pub(crate) retry_after: Option<String>,
+    /// The whole body, or why it could not be read.
     pub(crate) body: Result<String, String>,
 }
 
-pub(crate) const STREAM: &[(&str, &str)] =
+/// Headers of a request for a stream: its model, and the numbers of its prompt
+/// tokens and output tokens.
+pub(crate) const STREAM_HEADERS: &[(&str, &str)] =
     &[("x-model", "base/roses"), ("x-token-usage", "100,50")];
 
-/// An engine with its daemon, and an entry that knows both.
-pub(crate) async fn engine_fleet(settings: RunnerSettings) -> (Fleet, Runner, Process) {
-    let store = Registry::start(ANY).unwrap();
-    store.put("op", "config", &config(1, &[KEY]));
-    let engine = Runner::start(ANY, settings).unwrap();
-    let beside = sidecar("upstream-1", &store, &engine);
-    let entry = entry("entry-1", &store, beside.address("peers").port());
+/// Starts an engine, its sidecar and an entry that knows both.
+pub(crate) async fn start_engine_fleet(settings: RunnerSettings) -> (Fleet, Runner, Process) {
+    let store = Registry::start(ANY_PORT).unwrap();
+    store.put("op", "config", &config_row(1, &[KEY]));
+    let engine = Runner::start(ANY_PORT, settings).unwrap();
+    let sidecar = start_sidecar("upstream-1", &store, &engine);
+    let entry = start_entry("entry-1", &store, sidecar.address("peers").port());
     let fleet = Fleet { store, entry };
     fleet.register("gpu-1", "writer", &engine);
-    fleet.ready().await;
-    (fleet, engine, beside)
+    fleet.wait_until_ready().await;
+    (fleet, engine, sidecar)
 }
 
-/// Asks for a tour until the daemon beside the engine has read its first
-/// report; until then the answer is "come back".
-pub(crate) async fn tour(fleet: &Fleet, attempt: &str, last: Option<&str>) -> Got {
-    let mut headers = STREAM.to_vec();
+/// Requests a stream until the sidecar has received the engine's first load
+/// report; until then the answer is 503 and the request is repeated as a new
+/// attempt.
+pub(crate) async fn request_tour(fleet: &Fleet, attempt: &str, last: Option<&str>) -> CallerAnswer {
+    let mut headers = STREAM_HEADERS.to_vec();
     headers.extend(last.map(|last| ("last-event-id", last)));
-    let mut tries = 0;
-    until("a tour", async || {
-        tries += 1;
-        let attempt = if tries == 1 { attempt.to_owned() } else { format!("{attempt}-{tries}") };
-        let got = fleet.ask_with("POST", "/tour/day", &attempt, KEY, &headers).await;
-        (got.status != 503).then_some(got)
+    let mut attempts = 0;
+    wait_until("a tour", async || {
+        attempts += 1;
+        let attempt =
+            if attempts == 1 { attempt.to_owned() } else { format!("{attempt}-{attempts}") };
+        let answer = fleet.send_with("POST", "/tour/day", &attempt, KEY, &headers).await;
+        (answer.status != 503).then_some(answer)
     })
     .await
 }
 
-pub(crate) fn ids(body: &str) -> Vec<u64> {
+/// The ids of the events in a stream's body.
+pub(crate) fn event_ids(body: &str) -> Vec<u64> {
     body.lines().filter_map(|line| line.strip_prefix("id: ")?.parse().ok()).collect()
 }
--- a/kingcupbayd/tests/crossed.rs
+++ b/kingcupbayd/tests/crossed.rs
@@ -11,7 +11,8 @@
 };
 
 use common::{
-    Answer, Process, apply, ask, basics, daemon, finish, knows, name, ready, standin, until,
+    Answer, Process, apply_changes, basic_changes, build_request, name, send_request, start_daemon,
+    start_standin, wait_for_number, wait_until, wait_until_ready,
 };
 use kingcupbay_core::{
     config::{
@@ -107,9 +108,9 @@
 
 /// An entry with nothing but the daemon with mistakes behind it.
 async fn fleet() -> (Process, Process) {
-    let platform = standin("platform", &[]);
-    let entry = daemon("entry", "entry-1", &platform, "");
-    ready(&entry).await;
+    let platform = start_standin("platform", &[]);
+    let entry = start_daemon("entry", "entry-1", &platform, "");
+    wait_until_ready(&entry).await;
     let join = Change::Join {
         host: name("crossing"),
         address: daemon_with_mistakes().to_string(),
@@ -117,7 +118,7 @@
         role: Role::Upstream,
         incarnation: 1,
     };
-    apply(&entry, &[join]).await;
+    apply_changes(&entry, &[join]).await;
     let upstream = Upstream {
         name: name("gpu-1"),
         host: name("crossing"),
@@ -126,13 +127,13 @@
         serves: Serves::Model { base: name("base"), slots: 8, fenced: true },
         leaving: false,
     };
-    let mut changes = basics();
+    let mut changes = basic_changes();
     changes.push(Change::SetUpstream { upstream });
-    let number = apply(&entry, &changes).await;
-    knows(&entry, number).await;
+    let number = apply_changes(&entry, &changes).await;
+    wait_for_number(&entry, number).await;
     // An organisation that has just been made may get its shares a moment
     // later.
-    until("an admitted request", async || {
+    wait_until("an admitted request", async || {
         (complete(&entry, "plain").await.status == 200).then_some(())
     })
     .await;
@@ -143,7 +144,7 @@
     let body = json!({
         "model": "tasting@v1", "prompt": prompt, "max_tokens": 3, "stream": true
     });
-    finish(ask(entry, "/v1/completions"), &body).await
+    send_request(build_request(entry, "/v1/completions"), &body).await
 }
 
 async fn assert_whole(prompt: &str) {
--- a/kingcupbayd/tests/cut.rs
+++ b/kingcupbayd/tests/cut.rs
@@ -9,7 +9,10 @@
     net::{SocketAddr, TcpListener},
 };
 
-use common::{apply, ask, basics, daemon, finish, knows, name, ready, standin};
+use common::{
+    apply_changes, basic_changes, build_request, name, send_request, start_daemon, start_standin,
+    wait_for_number, wait_until_ready,
+};
 use kingcupbay_core::config::{
     change::Change,
     model::{Serves, Upstream},
@@ -39,22 +42,22 @@
         content-length: 40\r\n\r\n{\"verdict\": \"first pr";
     let chunked = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n\
         transfer-encoding: chunked\r\n\r\n40\r\n{\"verdict\": \"first pr";
-    let platform = standin("platform", &[]);
-    let upstream = daemon("upstream", "upstream-1", &platform, "");
-    let entry = daemon("entry", "entry-1", &platform, "");
-    ready(&upstream).await;
-    ready(&entry).await;
-    let mut changes = basics();
+    let platform = start_standin("platform", &[]);
+    let upstream = start_daemon("upstream", "upstream-1", &platform, "");
+    let entry = start_daemon("entry", "entry-1", &platform, "");
+    wait_until_ready(&upstream).await;
+    wait_until_ready(&entry).await;
+    let mut changes = basic_changes();
     for (text, answer) in [("announced", &announced[..]), ("chunked", &chunked[..])] {
         changes.extend(route(text, service(answer)));
     }
-    let number = apply(&entry, &changes).await;
-    knows(&upstream, number).await;
-    knows(&entry, number).await;
+    let number = apply_changes(&entry, &changes).await;
+    wait_for_number(&upstream, number).await;
+    wait_for_number(&entry, number).await;
     for route in ["announced", "chunked", "announced-once", "chunked-once"] {
         let path = format!("/v1/call/{route}/verdict");
-        let request = ask(&entry, &path).insert_header(("idempotency-key", route));
-        let answer = finish(request, &json!({})).await;
+        let request = build_request(&entry, &path).insert_header(("idempotency-key", route));
+        let answer = send_request(request, &json!({})).await;
         assert_ne!(answer.status, 200, "{route}: {}", answer.body);
         assert_ne!(answer.ran(), "not_run", "{route}: {}", answer.body);
     }
--- a/kingcupbayd/tests/drain.rs
+++ b/kingcupbayd/tests/drain.rs
@@ -8,7 +8,7 @@
 
 use awc::error::PayloadError;
 use bytes::Bytes;
-use common::{Fleet, Process, ask, completion, finish};
+use common::{Fleet, Process, build_request, completion_body, send_request};
 use futures_util::{Stream, StreamExt, future::join_all};
 use kingcupbay_standin::answer_text;
 
@@ -19,8 +19,8 @@
 
 /// Starts a stream and waits for its first bytes.
 async fn begin(entry: &Process) -> (Vec<u8>, Body) {
-    let request = ask(entry, "/v1/completions");
-    let mut response = request.send_json(&completion("tasting@v1", 60)).await.unwrap();
+    let request = build_request(entry, "/v1/completions");
+    let mut response = request.send_json(&completion_body("tasting@v1", 60)).await.unwrap();
     assert_eq!(response.status(), 200);
     let first = response.next().await.unwrap().unwrap();
     (first.to_vec(), Box::pin(response))
@@ -69,9 +69,9 @@
     let host = fleet.upstreams.remove(0);
     host.signal("-TERM");
     let later = (0..STREAMS).map(|_| {
-        let body = completion("tasting@v1", 60);
-        let request = ask(&fleet.entries[0], "/v1/completions");
-        async move { finish(request, &body).await }
+        let body = completion_body("tasting@v1", 60);
+        let request = build_request(&fleet.entries[0], "/v1/completions");
+        async move { send_request(request, &body).await }
     });
     for answer in join_all(later).await {
         assert_eq!(answer.status, 200, "{}", answer.body);
@@ -79,7 +79,10 @@
     }
     join_all(streams.into_iter().map(rest)).await.into_iter().for_each(assert_whole);
     assert!(host.wait().0);
-    let answer =
-        finish(ask(&fleet.entries[0], "/v1/completions"), &completion("tasting", 60)).await;
+    let answer = send_request(
+        build_request(&fleet.entries[0], "/v1/completions"),
+        &completion_body("tasting", 60),
+    )
+    .await;
     assert_whole(answer.body);
 }
--- a/kingcupbayd/tests/failure.rs
+++ b/kingcupbayd/tests/failure.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use common::{
-    Answer, Fleet, Process, ask, basics, completion, control, daemon, finish, get, model_upstream,
-    name, ready, standin, until,
+    Answer, Fleet, Process, basic_changes, build_request, completion_body, control, get_text,
+    model_upstream, name, send_request, start_daemon, start_standin, wait_until, wait_until_ready,
 };
 use futures_util::{StreamExt, future::join_all};
 use kingcupbay_core::{
@@ -34,7 +34,11 @@
 }
 
 async fn answer(fleet: &Fleet) -> Answer {
-    finish(ask(&fleet.entries[0], "/v1/completions"), &completion("tasting@v1", TOKENS)).await
+    send_request(
+        build_request(&fleet.entries[0], "/v1/completions"),
+        &completion_body("tasting@v1", TOKENS),
+    )
+    .await
 }
 
 fn assert_whole(answer: &Answer) {
@@ -49,7 +53,7 @@
 
 /// Which engine runs a stream now.
 async fn running_at(fleet: &Fleet) -> usize {
-    until("a running stream", async || {
+    wait_until("a running stream", async || {
         for (at, engine) in fleet.engines.iter().enumerate() {
             if record(engine).await.count(Outcome::Running) > 0 {
                 return Some(at);
@@ -74,7 +78,7 @@
     let fleet = pair("0").await;
     hit_each_once(&fleet, Fault::CutStreams { tokens: 7 }).await;
     assert_whole(&answer(&fleet).await);
-    let metrics = get(&fleet.entries[0], "/metrics").await;
+    let metrics = get_text(&fleet.entries[0], "/metrics").await;
     assert!(metrics.contains("kingcupbay_retries_total{reason=\"upstream_failed\"} 2"));
 }
 
@@ -159,13 +163,13 @@
 async fn a_caller_that_leaves_before_the_first_token_is_noticed() {
     let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "0"], PATIENT).await;
     hit_each_once(&fleet, Fault::StallStreams { tokens: 0 }).await;
-    let body = completion("tasting@v1", TOKENS);
-    let waiting = finish(ask(&fleet.entries[0], "/v1/completions"), &body);
+    let body = completion_body("tasting@v1", TOKENS);
+    let waiting = send_request(build_request(&fleet.entries[0], "/v1/completions"), &body);
     tokio::select! {
         _ = waiting => panic!("a stalled stream has no answer"),
         _ = running_at(&fleet) => {}
     }
-    until("the ended stream", async || {
+    wait_until("the ended stream", async || {
         (record(&fleet.engines[0]).await.count(Outcome::Running) == 0).then_some(())
     })
     .await;
@@ -179,19 +183,20 @@
     let args = ["--first", "1", "--gap", "20", "--slots", "1"];
     let fleet = Fleet::start(1, 1, &args, TIGHT).await;
     let entry = &fleet.entries[0];
-    let text = get(entry, "/admin/config").await;
+    let text = get_text(entry, "/admin/config").await;
     let config: Config = serde_json::from_str(&text).unwrap();
     let id = config.upstream_names[&name("gpu-1")];
     let mut upstream = config.upstreams.get(id).unwrap().clone();
     upstream.serves = Serves::Model { base: name("base"), slots: 1, fenced: true };
-    common::apply(entry, &[Change::SetUpstream { upstream: upstream.clone() }]).await;
+    common::apply_changes(entry, &[Change::SetUpstream { upstream: upstream.clone() }]).await;
     upstream.zone = name("zone-b");
     let (first, second) = tokio::join!(answer(&fleet), async {
         running_at(&fleet).await;
-        let number = common::apply(entry, &[Change::SetUpstream { upstream }]).await;
-        common::knows(&fleet.upstreams[0], number).await;
-        common::knows(entry, number).await;
-        finish(ask(entry, "/v1/completions"), &completion("tasting@v2", 2)).await
+        let number = common::apply_changes(entry, &[Change::SetUpstream { upstream }]).await;
+        common::wait_for_number(&fleet.upstreams[0], number).await;
+        common::wait_for_number(entry, number).await;
+        send_request(build_request(entry, "/v1/completions"), &completion_body("tasting@v2", 2))
+            .await
     });
     assert_whole(&first);
     assert_eq!(second.status, 200, "{}", second.body);
@@ -205,15 +210,17 @@
 /// whole entry busy until the deadline.
 #[actix_rt::test]
 async fn an_upstream_on_an_absent_host_is_refused_at_once() {
-    let platform = standin("platform", &[]);
-    let entry = daemon("entry", "entry-1", &platform, TIGHT);
-    let engine = standin("engine", &[]);
-    ready(&entry).await;
-    let mut changes = basics();
+    let platform = start_standin("platform", &[]);
+    let entry = start_daemon("entry", "entry-1", &platform, TIGHT);
+    let engine = start_standin("engine", &[]);
+    wait_until_ready(&entry).await;
+    let mut changes = basic_changes();
     changes.push(model_upstream("gpu-1", "upstream-9", &engine));
-    let number = common::apply(&entry, &changes).await;
-    common::knows(&entry, number).await;
-    let refused = finish(ask(&entry, "/v1/completions"), &completion("tasting@v1", 2)).await;
+    let number = common::apply_changes(&entry, &changes).await;
+    common::wait_for_number(&entry, number).await;
+    let refused =
+        send_request(build_request(&entry, "/v1/completions"), &completion_body("tasting@v1", 2))
+            .await;
     assert_eq!((refused.status, refused.code().as_str()), (503, "no_upstream"));
     assert_eq!((refused.ran().as_str(), refused.retry_after), ("not_run", Some(1)));
 }
@@ -223,25 +230,25 @@
 #[actix_rt::test]
 async fn an_engine_that_is_not_owned_refuses_soon() {
     let fleet = Fleet::start(1, 0, &[], TIGHT).await;
-    let engine = standin("engine", &[]);
-    let upstream = daemon("upstream", "upstream-1", &fleet.platform, TIGHT);
-    ready(&upstream).await;
-    until("the rate shares", async || {
-        let dump = get(&fleet.entries[0], "/admin/dump").await;
+    let engine = start_standin("engine", &[]);
+    let upstream = start_daemon("upstream", "upstream-1", &fleet.platform, TIGHT);
+    wait_until_ready(&upstream).await;
+    wait_until("the rate shares", async || {
+        let dump = get_text(&fleet.entries[0], "/admin/dump").await;
         dump.contains("settled=true").then_some(())
     })
     .await;
     // The patch is the next write, and the fencing number the one after it.
     control(&fleet.platform).set(Rule::new(Fault::Outage).path("/txn").skip(1)).await.unwrap();
     let changes = [model_upstream("gpu-1", "upstream-1", &engine)];
-    let number = common::apply(&fleet.entries[0], &changes).await;
-    common::knows(&fleet.entries[0], number).await;
-    common::knows(&upstream, number).await;
-    let request = ask(&fleet.entries[0], "/v1/completions");
+    let number = common::apply_changes(&fleet.entries[0], &changes).await;
+    common::wait_for_number(&fleet.entries[0], number).await;
+    common::wait_for_number(&upstream, number).await;
+    let request = build_request(&fleet.entries[0], "/v1/completions");
     let request = request.insert_header(("x-deadline-ms", "600000"));
-    let body = completion("tasting@v1", 2);
-    let refused = finish(request, &body);
-    let refused = tokio::time::timeout(common::PATIENCE, refused).await.unwrap();
+    let body = completion_body("tasting@v1", 2);
+    let refused = send_request(request, &body);
+    let refused = tokio::time::timeout(common::EVENT_TIMEOUT, refused).await.unwrap();
     assert_eq!((refused.status, refused.ran().as_str()), (503, "not_run"), "{}", refused.body);
     assert_eq!(refused.retry_after, Some(1));
 }
@@ -252,14 +259,14 @@
 #[actix_rt::test]
 async fn a_successor_waits_until_its_join_is_in_force() {
     let mut fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "0"], TIGHT).await;
-    let text = get(&fleet.entries[0], "/admin/config").await;
+    let text = get_text(&fleet.entries[0], "/admin/config").await;
     let config: Config = serde_json::from_str(&text).unwrap();
     let id = config.upstream_names[&name("gpu-1")];
     let mut upstream = config.upstreams.get(id).unwrap().clone();
     upstream.serves = Serves::Model { base: name("base"), slots: 8, fenced: false };
     fleet.apply(&[Change::SetUpstream { upstream }]).await;
-    until("the owner", async || {
-        let dump = get(&fleet.upstreams[0], "/admin/dump").await;
+    wait_until("the owner", async || {
+        let dump = get_text(&fleet.upstreams[0], "/admin/dump").await;
         // A busy host may learn of both rows at once and take one number for them.
         let owned = !dump.contains("upstream=gpu-1 fencing=0 ");
         (owned && dump.contains(" fenced=false ")).then_some(())
@@ -267,10 +274,10 @@
     .await;
     fleet.upstreams[0].signal("-STOP");
     fleet.entries[0].signal("-STOP");
-    let mut successor = daemon("upstream", "upstream-1", &fleet.platform, TIGHT);
+    let mut successor = start_daemon("upstream", "upstream-1", &fleet.platform, TIGHT);
     // Longer than the wait that follows a join in force.
     tokio::time::sleep(std::time::Duration::from_secs(8)).await;
-    let dump = get(&successor, "/admin/dump").await;
+    let dump = get_text(&successor, "/admin/dump").await;
     assert!(dump.contains("upstream=gpu-1 fencing=0 "), "{dump}");
     fleet.entries[0].signal("-CONT");
     successor.wait_line("event=owned");
@@ -278,7 +285,7 @@
 
 /// An order for the first upstream, under the configuration in force.
 async fn order(fleet: &Fleet) -> Run {
-    let text = get(&fleet.entries[0], "/admin/config").await;
+    let text = get_text(&fleet.entries[0], "/admin/config").await;
     let config: Config = serde_json::from_str(&text).unwrap();
     Run {
         request: RequestId([7; 16]),
@@ -302,7 +309,7 @@
 async fn a_leaving_upstream_refuses_an_entry_that_missed_the_news() {
     let mut fleet = pair("0").await;
     let order = order(&fleet).await;
-    let text = get(&fleet.entries[0], "/admin/config").await;
+    let text = get_text(&fleet.entries[0], "/admin/config").await;
     let config: Config = serde_json::from_str(&text).unwrap();
     let mut upstream = config.upstreams.get(order.upstream).unwrap().clone();
     upstream.leaving = true;
@@ -333,8 +340,8 @@
     let upstream = &fleet.upstreams[0];
     let first = run(upstream, &order);
     let second = async {
-        until("the first order", async || {
-            let dump = get(upstream, "/admin/dump").await;
+        wait_until("the first order", async || {
+            let dump = get_text(upstream, "/admin/dump").await;
             dump.contains("waiting=1").then_some(())
         })
         .await;
@@ -352,13 +359,13 @@
 #[actix_rt::test]
 async fn an_answer_lost_with_its_entry_is_noticed_by_the_upstream_daemon() {
     let mut fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "20"], TIGHT).await;
-    let request = ask(&fleet.entries[0], "/v1/completions");
-    let mut response = request.send_json(&completion("tasting@v1", 5_000)).await.unwrap();
+    let request = build_request(&fleet.entries[0], "/v1/completions");
+    let mut response = request.send_json(&completion_body("tasting@v1", 5_000)).await.unwrap();
     response.next().await.unwrap().unwrap();
     fleet.entries.remove(0).kill();
     let line = fleet.upstreams[0].wait_line("outcome=entry_left");
     assert!(line.contains("organisation=winery") && line.contains("request="), "{line}");
-    let metrics = get(&fleet.upstreams[0], "/metrics").await;
+    let metrics = get_text(&fleet.upstreams[0], "/metrics").await;
     assert!(metrics.contains("kingcupbay_undelivered_total{organisation=\"winery\"} 1"));
 }
 
@@ -375,8 +382,8 @@
     for engine in &fleet.engines {
         control(engine).set(Rule::new(Fault::FailLoads)).await.unwrap();
     }
-    let body = completion("tasting@v2", TOKENS);
-    let refused = finish(ask(&fleet.entries[0], "/v1/completions"), &body).await;
+    let body = completion_body("tasting@v2", TOKENS);
+    let refused = send_request(build_request(&fleet.entries[0], "/v1/completions"), &body).await;
     assert_eq!((refused.status, refused.code().as_str()), (503, "load_failed"));
     assert_eq!(refused.ran(), "not_run");
     assert!(refused.retry_after.unwrap() >= 1);
@@ -388,11 +395,12 @@
 async fn a_withdrawn_key_stops_its_running_stream() {
     let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "20"], TIGHT).await;
     let entry = &fleet.entries[0];
-    let body = completion("tasting@v1", 5_000);
-    let (answer, ()) = tokio::join!(finish(ask(entry, "/v1/completions"), &body), async {
-        running_at(&fleet).await;
-        common::apply(entry, &[Change::WithdrawKey { label: name("desk") }]).await;
-    });
+    let body = completion_body("tasting@v1", 5_000);
+    let (answer, ()) =
+        tokio::join!(send_request(build_request(entry, "/v1/completions"), &body), async {
+            running_at(&fleet).await;
+            common::apply_changes(entry, &[Change::WithdrawKey { label: name("desk") }]).await;
+        });
     let last = answer.events().pop().unwrap();
     assert_eq!(last["error"]["code"], "key_withdrawn");
     assert_eq!(last["error"]["ran"], "ran");
@@ -405,7 +413,7 @@
 async fn a_leaving_upstream_gets_nothing_new() {
     let mut fleet = pair("0").await;
     let config: Config =
-        serde_json::from_str(&get(&fleet.entries[0], "/admin/config").await).unwrap();
+        serde_json::from_str(&get_text(&fleet.entries[0], "/admin/config").await).unwrap();
     let id = config.upstream_names[&name("gpu-1")];
     let mut upstream = config.upstreams.get(id).unwrap().clone();
     upstream.leaving = true;
@@ -422,11 +430,12 @@
 #[actix_rt::test]
 async fn a_passed_deadline_ends_the_answer_and_the_engines_stream() {
     let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "20"], TIGHT).await;
-    let request = ask(&fleet.entries[0], "/v1/completions").insert_header(("x-deadline-ms", "500"));
-    let answer = finish(request, &completion("tasting@v1", 5_000)).await;
+    let request =
+        build_request(&fleet.entries[0], "/v1/completions").insert_header(("x-deadline-ms", "500"));
+    let answer = send_request(request, &completion_body("tasting@v1", 5_000)).await;
     let last = answer.events().pop().unwrap();
     assert_eq!(last["error"]["code"], "deadline");
-    until("the ended stream", async || {
+    wait_until("the ended stream", async || {
         let record = record(&fleet.engines[0]).await;
         (record.count(Outcome::Running) == 0).then_some(())
     })
--- a/kingcupbayd/tests/fleet.rs
+++ b/kingcupbayd/tests/fleet.rs
@@ -8,7 +8,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    Answer, Fleet, ask, completion, control, daemon, finish, get, post_patch, ready, until,
+    Answer, Fleet, build_request, completion_body, control, get_text, post_patch, send_request,
+    start_daemon, wait_until, wait_until_ready,
 };
 use kingcupbay_core::{
     config::{change::Change, model::Config, patch::Patch},
@@ -31,12 +32,16 @@
 }
 
 async fn answer(fleet: &Fleet) -> Answer {
-    finish(ask(&fleet.entries[0], "/v1/completions"), &completion("tasting@v1", 3)).await
+    send_request(
+        build_request(&fleet.entries[0], "/v1/completions"),
+        &completion_body("tasting@v1", 3),
+    )
+    .await
 }
 
 /// A patch against what is in force at the entry.
 async fn patch(fleet: &Fleet, id: u8) -> Patch {
-    let text = get(&fleet.entries[0], "/admin/config").await;
+    let text = get_text(&fleet.entries[0], "/admin/config").await;
     let config: Config = serde_json::from_str(&text).unwrap();
     let label = common::name("desk");
     let changes = vec![Change::WithdrawKey { label }];
@@ -67,15 +72,18 @@
     control(&fleet.platform).set(Rule::new(Fault::Outage)).await.unwrap();
     fleet.upstreams.iter().for_each(|upstream| upstream.signal("-STOP"));
     let entry = &fleet.entries[0];
-    until("the lapse", async || (get(entry, "/ready").await == "not ready\n").then_some(())).await;
+    wait_until("the lapse", async || {
+        (get_text(entry, "/ready").await == "not ready\n").then_some(())
+    })
+    .await;
     let refused = answer(&fleet).await;
     assert_eq!((refused.code().as_str(), refused.ran().as_str()), ("no_standing", "not_run"));
     fleet.upstreams.iter().for_each(|upstream| upstream.signal("-CONT"));
-    ready(entry).await;
+    wait_until_ready(entry).await;
     // The daemons beside engines were frozen as well, and refuse until they have
     // heard that what they know is in force.
     for upstream in &fleet.upstreams {
-        ready(upstream).await;
+        wait_until_ready(upstream).await;
     }
     let again = answer(&fleet).await;
     assert_eq!(again.status, 200, "{}", again.body);
@@ -133,8 +141,8 @@
 async fn a_replaced_host_joins_and_patches_go_on() {
     let mut fleet = three().await;
     fleet.upstreams.remove(1).kill();
-    let successor = daemon("upstream", "upstream-2", &fleet.platform, "");
-    ready(&successor).await;
+    let successor = start_daemon("upstream", "upstream-2", &fleet.platform, "");
+    wait_until_ready(&successor).await;
     let patch = patch(&fleet, 1).await;
     let (status, body) = post_patch(&successor, &patch).await;
     assert_eq!(status, 200, "{body}");
--- a/kingcupbayd/tests/input.rs
+++ b/kingcupbayd/tests/input.rs
@@ -10,7 +10,10 @@
     time::Duration,
 };
 
-use common::{Fleet, SECRET, apply, ask, client, completion, control, finish, get, knows, name};
+use common::{
+    Fleet, SECRET, apply_changes, build_request, client, completion_body, control, get_text, name,
+    send_request, wait_for_number,
+};
 use kingcupbay_core::config::{change::Change, model::KeyHash};
 use kingcupbay_standin::{EngineRecord, Outcome};
 use serde_json::{Value, json};
@@ -48,19 +51,23 @@
         let url = format!("http://{}/v1/completions", entry.address("callers"));
         client().post(url).insert_header(("x-deadline-ms", "5000")).bearer_auth(key)
     };
-    let body = completion("tasting@v1", 4);
-    let unknown = finish(with_key("kcb_never"), &body).await;
-    let number = apply(entry, &[Change::WithdrawKey { label: name("bus") }]).await;
-    knows(entry, number).await;
-    let withdrawn = finish(with_key("kcb_bus"), &body).await;
+    let body = completion_body("tasting@v1", 4);
+    let unknown = send_request(with_key("kcb_never"), &body).await;
+    let number = apply_changes(entry, &[Change::WithdrawKey { label: name("bus") }]).await;
+    wait_for_number(entry, number).await;
+    let withdrawn = send_request(with_key("kcb_bus"), &body).await;
     assert_eq!((unknown.status, unknown.code().as_str()), (401, "bad_key"));
     assert_eq!((withdrawn.status, withdrawn.body), (401, unknown.body));
 
-    let nobodys = finish(ask(entry, "/v1/completions"), &completion("royte", 4)).await;
-    let others = finish(ask(entry, "/v1/completions"), &completion("route", 4)).await;
+    let nobodys =
+        send_request(build_request(entry, "/v1/completions"), &completion_body("royte", 4)).await;
+    let others =
+        send_request(build_request(entry, "/v1/completions"), &completion_body("route", 4)).await;
     assert_eq!((nobodys.status, nobodys.code().as_str()), (404, "not_found"));
     assert_eq!(others.body, nobodys.body.replace("royte", "route"));
-    let version = finish(ask(entry, "/v1/completions"), &completion("tasting@v9", 4)).await;
+    let version =
+        send_request(build_request(entry, "/v1/completions"), &completion_body("tasting@v9", 4))
+            .await;
     assert_eq!((version.status, version.ran().as_str()), (404, "not_run"));
 }
 
@@ -70,7 +77,7 @@
     let entry = &fleet.entries[0];
     let path = "/v1/completions";
     let refused = async |body: Value, field: &str| {
-        let answer = finish(ask(entry, path), &body).await;
+        let answer = send_request(build_request(entry, path), &body).await;
         assert_eq!((answer.status, answer.ran().as_str()), (400, "not_run"), "{body}");
         assert!(answer.body.contains(field), "{}", answer.body);
     };
@@ -81,12 +88,13 @@
     refused(json!({"model": "tasting", "prompt": "x", "logprobs": 3}), "logprobs").await;
 
     let no_deadline = client().post(format!("http://{}{path}", entry.address("callers")));
-    let answer = finish(no_deadline.bearer_auth(SECRET), &completion("tasting", 4)).await;
+    let answer =
+        send_request(no_deadline.bearer_auth(SECRET), &completion_body("tasting", 4)).await;
     assert_eq!(answer.status, 400);
     assert!(answer.body.contains("x-deadline-ms"));
 
     let long = json!({"model": "tasting", "prompt": "x".repeat(2 << 20)});
-    let answer = finish(ask(entry, path), &long).await;
+    let answer = send_request(build_request(entry, path), &long).await;
     assert_eq!((answer.status, answer.code().as_str()), (413, "too_large"));
 }
 
@@ -131,7 +139,11 @@
     endless.extend(std::iter::repeat_n(b'y', 1 << 20));
     let answer = raw(&fleet, &endless);
     assert!(!answer.starts_with("HTTP/1.1 2"), "{answer}");
-    let answer = finish(ask(&fleet.entries[0], "/v1/completions"), &completion("tasting", 2)).await;
+    let answer = send_request(
+        build_request(&fleet.entries[0], "/v1/completions"),
+        &completion_body("tasting", 2),
+    )
+    .await;
     assert_eq!(answer.status, 200);
 }
 
@@ -142,23 +154,23 @@
 async fn a_caller_that_leaves_midway_cancels_the_engines_stream() {
     let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "20"], "").await;
     let entry = &fleet.entries[0];
-    let body = completion("tasting@v1", 5_000);
-    let response = ask(entry, "/v1/completions").send_json(&body).await.unwrap();
+    let body = completion_body("tasting@v1", 5_000);
+    let response = build_request(entry, "/v1/completions").send_json(&body).await.unwrap();
     assert_eq!(response.status(), 200);
     drop(response);
     let engine = control(&fleet.engines[0]);
-    common::until("the cancelled stream", async || {
+    common::wait_until("the cancelled stream", async || {
         let record: EngineRecord = engine.get("/state").await.unwrap();
         let ended = record.count(Outcome::Cancelled) + record.count(Outcome::Dropped);
         (ended == 1 && record.ran.len() == 1).then_some(())
     })
     .await;
-    common::until("the released pin", async || {
-        let dump = get(&fleet.upstreams[0], "/admin/dump").await;
+    common::wait_until("the released pin", async || {
+        let dump = get_text(&fleet.upstreams[0], "/admin/dump").await;
         (dump.contains("running=0") && dump.contains("pins=0")).then_some(())
     })
     .await;
-    let metrics = get(entry, "/metrics").await;
+    let metrics = get_text(entry, "/metrics").await;
     assert!(metrics.contains("kingcupbay_undelivered_total{organisation=\"winery\"} 1"));
 }
 
@@ -169,7 +181,11 @@
     let fleet = small().await;
     let engine = control(&fleet.engines[0]);
     engine.record(true).await.unwrap();
-    let answer = finish(ask(&fleet.entries[0], "/v1/completions"), &completion("tasting", 8)).await;
+    let answer = send_request(
+        build_request(&fleet.entries[0], "/v1/completions"),
+        &completion_body("tasting", 8),
+    )
+    .await;
     assert_eq!(answer.status, 200);
     let received = engine.received().await.unwrap();
     let find = |text: &str| received.windows(text.len()).any(|part| part == text.as_bytes());
@@ -184,7 +200,7 @@
 #[actix_rt::test]
 async fn no_byte_of_a_key_reaches_a_service() {
     let mut fleet = small().await;
-    let service = common::standin("service", &[]);
+    let service = common::start_standin("service", &[]);
     let mut changes = vec![common::service_upstream("desk-1", "upstream-1", &service)];
     for (route, once) in [("book", true), ("look", false)] {
         changes.push(Change::SetRoute {
@@ -198,9 +214,9 @@
     let recorder = control(&service);
     recorder.record(true).await.unwrap();
     for route in ["book", "look"] {
-        let request = ask(&fleet.entries[0], &format!("/v1/call/{route}/seats"));
+        let request = build_request(&fleet.entries[0], &format!("/v1/call/{route}/seats"));
         let request = request.insert_header(("idempotency-key", route));
-        let answer = finish(request, &json!({"seat": "the one by the window"})).await;
+        let answer = send_request(request, &json!({"seat": "the one by the window"})).await;
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     let received = recorder.received().await.unwrap();
--- a/kingcupbayd/tests/listen.rs
+++ b/kingcupbayd/tests/listen.rs
@@ -8,9 +8,9 @@
 use std::collections::BTreeMap;
 
 use common::{
-    client, get,
-    registered::{ANY, Fleet, KEY, config},
-    until,
+    client, get_text,
+    registered::{ANY_PORT, Fleet, KEY, config_row},
+    wait_until,
 };
 use kingcupbay_core::{
     deployment::model::Instance,
@@ -71,7 +71,7 @@
 
 /// Tells that nothing has happened up to `version` until a line holds `text`.
 async fn tell_until(fleet: &mut Fleet, tables: &[Table], version: u64, text: &str) {
-    until(text, async || {
+    wait_until(text, async || {
         let calm = |&table: &Table| (table, reading(version, 0, Vec::new()));
         tell(fleet, tables.iter().map(calm).collect()).await;
         fleet.entry.has_line(text).then_some(())
@@ -95,13 +95,13 @@
 }
 
 async fn feeds(fleet: &Fleet, table: &str) -> u64 {
-    let text = get(&fleet.entry, "/metrics").await;
+    let text = get_text(&fleet.entry, "/metrics").await;
     let name = format!("kingcupbay_store_calls_total{{call=\"feed\",table=\"{table}\"}} ");
     text.lines().find_map(|line| line.strip_prefix(&name)?.parse().ok()).unwrap_or_default()
 }
 
 async fn status(fleet: &Fleet, attempt: &str) -> u16 {
-    fleet.ask("GET", "/seats/today", attempt).await.status
+    fleet.send("GET", "/seats/today", attempt).await.status
 }
 
 /// Each entry read each change of each upstream: the store was called entries times
@@ -109,9 +109,9 @@
 #[actix_rt::test]
 async fn a_listener_acts_on_what_readers_tell() {
     let mut fleet = listener().await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     // An entry admits nothing until it finds itself on the list.
-    until("the list", async || (status(&fleet, "a0").await == 503).then_some(())).await;
+    wait_until("the list", async || (status(&fleet, "a0").await == 503).then_some(())).await;
     tell_until(&mut fleet, &[Table::Upstreams], 100, "table=servers event=listens").await;
     let before = feeds(&fleet, "servers").await;
     let joined = Changed { version: 105, what: What::Upstream(desk("desk-1", &upstream, 105)) };
@@ -128,19 +128,21 @@
 #[actix_rt::test]
 async fn a_listener_reads_once_the_readers_are_silent() {
     let mut fleet = listener().await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     let now = version(&fleet);
     tell_until(&mut fleet, &[Table::Upstreams], now, "table=servers event=listens").await;
     fleet.register("desk-1", "desk", &upstream);
-    until("the desk", async || {
+    wait_until("the desk", async || {
         // Entries that say nothing at all are taken off the list.
         tell(&fleet, BTreeMap::new()).await;
         (status(&fleet, "a1").await == 200).then_some(())
     })
     .await;
     // Lines come by way of a thread of their own.
-    until("the line", async || fleet.entry.has_line("table=servers event=reads").then_some(()))
-        .await;
+    wait_until("the line", async || {
+        fleet.entry.has_line("table=servers event=reads").then_some(())
+    })
+    .await;
 }
 
 /// The tallies that told of an upstream got lost. Later ones, in which nothing happens,
@@ -148,12 +150,12 @@
 #[actix_rt::test]
 async fn a_listener_that_missed_a_change_reads_it() {
     let mut fleet = listener().await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     let now = version(&fleet);
     tell_until(&mut fleet, &[Table::Upstreams], now, "table=servers event=listens").await;
     fleet.register("desk-1", "desk", &upstream);
     let missed = version(&fleet);
-    until("the desk", async || {
+    wait_until("the desk", async || {
         tell(&fleet, [(Table::Upstreams, reading(missed, missed, Vec::new()))].into()).await;
         (status(&fleet, "a1").await == 200).then_some(())
     })
@@ -165,28 +167,28 @@
 #[actix_rt::test]
 async fn a_listener_gives_up_a_feed_that_missed_a_configuration() {
     let mut fleet = listener().await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
     // An entry admits nothing until it finds itself on the list.
-    until("an answer", async || (status(&fleet, "a1").await == 200).then_some(())).await;
-    let now = fleet.store.put("op", "config", &config(2, &[KEY]));
-    until("the configuration", async || {
+    wait_until("an answer", async || (status(&fleet, "a1").await == 200).then_some(())).await;
+    let now = fleet.store.put("op", "config", &config_row(2, &[KEY]));
+    wait_until("the configuration", async || {
         fleet.entry.has_line("number=2 event=configuration").then_some(())
     })
     .await;
     fleet.store.set_deaf(true);
     let deaf = fleet.store.deaf_feeds("op");
     tell_until(&mut fleet, &[Table::Operator], now, "table=op event=listens").await;
-    until("the long feed", async || {
+    wait_until("the long feed", async || {
         tell(&fleet, [(Table::Operator, reading(now, 0, Vec::new()))].into()).await;
         let long = fleet.store.longest_wait("op") >= 10_000;
         (long && fleet.store.deaf_feeds("op") > deaf).then_some(())
     })
     .await;
-    let version = fleet.store.put("op", "config", &config(3, &["another-key"]));
+    let version = fleet.store.put("op", "config", &config_row(3, &["another-key"]));
     fleet.store.set_deaf(false);
     tell(&fleet, [(Table::Operator, reading(version, version, Vec::new()))].into()).await;
-    until("the refusal", async || (status(&fleet, "a2").await == 401).then_some(())).await;
+    wait_until("the refusal", async || (status(&fleet, "a2").await == 401).then_some(())).await;
     assert!(!fleet.entry.has_line("event=feed_deaf"));
 }
 
@@ -195,20 +197,21 @@
 #[actix_rt::test]
 async fn one_feed_finds_out_that_the_store_is_back() {
     let mut fleet = Fleet::start(1).await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
-    fleet.ready().await;
+    fleet.wait_until_ready().await;
     fleet.store.server().set(Rule::new(Fault::Silent));
-    until("the loss", async || fleet.entry.has_line("table=op event=feed_lost").then_some(()))
+    wait_until("the loss", async || fleet.entry.has_line("table=op event=feed_lost").then_some(()))
         .await;
     let reads = async |fleet: &Fleet, table: &str| {
-        let text = get(&fleet.entry, "/metrics").await;
+        let text = get_text(&fleet.entry, "/metrics").await;
         let name = format!("kingcupbay_store_calls_total{{call=\"read\",table=\"{table}\"}} ");
         text.lines().find_map(|line| line.strip_prefix(&name)?.parse::<u64>().ok()).unwrap()
     };
     let (op, servers) = (reads(&fleet, "op").await, reads(&fleet, "servers").await);
-    until("three more reads", async || (reads(&fleet, "op").await >= op + 3).then_some(())).await;
+    wait_until("three more reads", async || (reads(&fleet, "op").await >= op + 3).then_some(()))
+        .await;
     assert_eq!(reads(&fleet, "servers").await, servers);
     fleet.store.server().order(FaultOrder::ClearAll);
-    until("the list", async || fleet.entry.has_line("after_outage=true").then_some(())).await;
+    wait_until("the list", async || fleet.entry.has_line("after_outage=true").then_some(())).await;
 }
--- a/kingcupbayd/tests/news.rs
+++ b/kingcupbayd/tests/news.rs
@@ -8,8 +8,8 @@
 
 use common::{
     client,
-    registered::{ANY, Fleet, KEY, config, entry},
-    until,
+    registered::{ANY_PORT, Fleet, KEY, config_row, start_entry},
+    wait_until,
 };
 use kingcupbay_core::{id::Number, wire::tally::Tally};
 use kingcupbay_standin::{Fault, FaultOrder, Registry, Rule, Runner, RunnerSettings};
@@ -17,9 +17,9 @@
 
 /// An entry on `host` that follows a store of its own, which knows `config(1)`.
 fn alone(host: &str) -> Fleet {
-    let store = Registry::start(ANY).unwrap();
-    store.put("op", "config", &config(1, &[KEY]));
-    let entry = entry(host, &store, 1);
+    let store = Registry::start(ANY_PORT).unwrap();
+    store.put("op", "config", &config_row(1, &[KEY]));
+    let entry = start_entry(host, &store, 1);
     Fleet { store, entry }
 }
 
@@ -51,31 +51,33 @@
 #[actix_rt::test]
 async fn an_entry_cut_off_from_the_store_hears_who_leaves() {
     let [mut cut, other] = two();
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     for fleet in [&cut, &other] {
         fleet.register("desk-1", "desk", &desk);
-        fleet.ready().await;
+        fleet.wait_until_ready().await;
     }
-    assert_eq!(cut.ask("GET", "/seats/today", "a1").await.status, 200);
+    assert_eq!(cut.send("GET", "/seats/today", "a1").await.status, 200);
     cut.store.server().set(Rule::new(Fault::Silent));
     // The two stores count on their own; a removal is newer than what it removes.
     for round in 0..20 {
         other.store.put("op", "round", &json!(round));
     }
     other.store.remove("servers", "desk-1");
-    until("no more bookings at the desk", async || {
-        (cut.ask("GET", "/seats/today", "a2").await.status == 503).then_some(())
+    wait_until("no more bookings at the desk", async || {
+        (cut.send("GET", "/seats/today", "a2").await.status == 503).then_some(())
     })
     .await;
-    until("the cut to show", async || {
+    wait_until("the cut to show", async || {
         cut.entry.has_line("table=servers event=feed_lost").then_some(())
     })
     .await;
     cut.store.remove("servers", "desk-1");
     cut.store.server().order(FaultOrder::ClearAll);
-    until("the list after the cut", async || cut.entry.has_line("after_outage=true").then_some(()))
-        .await;
-    assert_eq!(cut.ask("GET", "/seats/today", "a3").await.status, 503);
+    wait_until("the list after the cut", async || {
+        cut.entry.has_line("after_outage=true").then_some(())
+    })
+    .await;
+    assert_eq!(cut.send("GET", "/seats/today", "a3").await.status, 503);
 }
 
 /// A key is withdrawn. The first entry reads it, the second has it from the first,
@@ -85,17 +87,17 @@
 async fn what_an_entry_was_told_it_tells_on() {
     let fleets = [alone("entry-1"), alone("entry-2"), alone("entry-3")];
     let [first, second, third] = &fleets;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     third.register("desk-1", "desk", &desk);
-    third.ready().await;
+    third.wait_until_ready().await;
     list(first, "entry-2", second);
     list(second, "entry-1", first);
     list(second, "entry-3", third);
     list(third, "entry-2", second);
-    assert_eq!(third.ask("GET", "/seats/today", "a1").await.status, 200);
-    first.store.put("op", "config", &config(5, &["another-key"]));
-    until("the refusal", async || {
-        (third.ask("GET", "/seats/today", "a2").await.status == 401).then_some(())
+    assert_eq!(third.send("GET", "/seats/today", "a1").await.status, 200);
+    first.store.put("op", "config", &config_row(5, &["another-key"]));
+    wait_until("the refusal", async || {
+        (third.send("GET", "/seats/today", "a2").await.status == 401).then_some(())
     })
     .await;
 }
@@ -107,10 +109,10 @@
 #[actix_rt::test]
 async fn an_entry_that_is_behind_calls_nothing_unknown() {
     let fleet = Fleet::start(1).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
-    fleet.ready().await;
-    assert_eq!(fleet.ask_with("GET", "/seats/today", "a1", "new-key", &[]).await.status, 401);
+    fleet.wait_until_ready().await;
+    assert_eq!(fleet.send_with("GET", "/seats/today", "a1", "new-key", &[]).await.status, 401);
     // Nobody answers there.
     list_at(&fleet, "entry-9", "127.0.0.1:1");
     let tally = Tally {
@@ -121,17 +123,17 @@
         ..Tally::default()
     };
     let url = format!("http://{}/tally", fleet.entry.address("peers"));
-    until("the tally", async || {
+    wait_until("the tally", async || {
         let told = client().post(&url).send_body(rmp_serde::to_vec(&tally).unwrap()).await;
         told.is_ok_and(|answer| answer.status().is_success()).then_some(())
     })
     .await;
     for path in ["/seats/today", "/new-route/today"] {
-        let got = fleet.ask_with("GET", path, "a2", "new-key", &[]).await;
+        let got = fleet.send_with("GET", path, "a2", "new-key", &[]).await;
         assert_eq!(got.status, 503, "{path}: {got:?}");
         assert!(got.retry_after.is_some(), "{path}");
     }
-    assert_eq!(fleet.ask("GET", "/seats/today", "a3").await.status, 200);
+    assert_eq!(fleet.send("GET", "/seats/today", "a3").await.status, 200);
 }
 
 /// All entries are cut off from the store, or there is only one; a desk leaves, and its
@@ -141,25 +143,25 @@
 async fn a_listed_desk_goes_before_one_that_is_missing() {
     let mut fleet = Fleet::start(1).await;
     let desks = ["desk-1", "desk-2"].map(|id| {
-        let desk = Runner::start(ANY, RunnerSettings::plain(id)).unwrap();
+        let desk = Runner::start(ANY_PORT, RunnerSettings::plain(id)).unwrap();
         fleet.register(id, "desk", &desk);
         desk
     });
-    fleet.ready().await;
+    fleet.wait_until_ready().await;
     fleet.store.server().set(Rule::new(Fault::Silent));
-    until("the cut to show", async || {
+    wait_until("the cut to show", async || {
         fleet.entry.has_line("table=servers event=feed_lost").then_some(())
     })
     .await;
     fleet.store.remove("servers", "desk-1");
     fleet.store.server().order(FaultOrder::ClearAll);
-    until("the list after the cut", async || {
+    wait_until("the list after the cut", async || {
         fleet.entry.has_line("after_outage=true").then_some(())
     })
     .await;
     let before = desks[0].runs().len();
     for attempt in 0..20 {
-        let got = fleet.ask("GET", "/seats/today", &format!("a{attempt}")).await;
+        let got = fleet.send("GET", "/seats/today", &format!("a{attempt}")).await;
         assert_eq!(got.status, 200, "{got:?}");
     }
     assert_eq!(desks[0].runs().len(), before);
--- a/kingcupbayd/tests/once.rs
+++ b/kingcupbayd/tests/once.rs
@@ -6,8 +6,8 @@
 mod common;
 
 use common::{
-    Answer, Process, apply, ask, basics, control, daemon, finish, knows, name, ready,
-    service_upstream, standin, until,
+    Answer, Process, apply_changes, basic_changes, build_request, control, name, send_request,
+    service_upstream, start_daemon, start_standin, wait_for_number, wait_until, wait_until_ready,
 };
 use kingcupbay_core::config::change::Change;
 use kingcupbay_standin::{Executions, Fault, Rule};
@@ -31,11 +31,11 @@
 
     /// Everything ready, but no call made yet.
     async fn fresh() -> Desk {
-        let platform = standin("platform", &[]);
-        let service = standin("service", &[]);
-        let upstream = daemon("upstream", "upstream-1", &platform, "");
-        let entry = daemon("entry", "entry-1", &platform, "");
-        let mut changes = basics();
+        let platform = start_standin("platform", &[]);
+        let service = start_standin("service", &[]);
+        let upstream = start_daemon("upstream", "upstream-1", &platform, "");
+        let entry = start_daemon("entry", "entry-1", &platform, "");
+        let mut changes = basic_changes();
         changes.push(service_upstream("desk-1", "upstream-1", &service));
         changes.push(Change::SetRoute {
             name: name("book"),
@@ -43,11 +43,11 @@
             service: name("booking"),
             once: true,
         });
-        ready(&upstream).await;
-        ready(&entry).await;
-        let number = apply(&entry, &changes).await;
-        knows(&upstream, number).await;
-        knows(&entry, number).await;
+        wait_until_ready(&upstream).await;
+        wait_until_ready(&entry).await;
+        let number = apply_changes(&entry, &changes).await;
+        wait_for_number(&upstream, number).await;
+        wait_for_number(&entry, number).await;
         Desk { platform, service, upstream, entry }
     }
 
@@ -56,10 +56,10 @@
     }
 
     async fn call(&self, key: &str, deadline: &str, seat: &str) -> Answer {
-        let request = ask(&self.entry, "/v1/call/book/seats")
+        let request = build_request(&self.entry, "/v1/call/book/seats")
             .insert_header(("x-deadline-ms", deadline))
             .insert_header(("idempotency-key", key));
-        finish(request, &json!({ "seat": seat })).await
+        send_request(request, &json!({ "seat": seat })).await
     }
 
     /// How often the service executed the call with this key.
@@ -76,11 +76,11 @@
 
     /// Puts another upstream daemon on the host; gives back the old one.
     async fn succeed(&mut self) -> Process {
-        let next = daemon("upstream", "upstream-1", &self.platform, "");
-        ready(&next).await;
-        let status = common::get(&next, "/admin/status").await;
+        let next = start_daemon("upstream", "upstream-1", &self.platform, "");
+        wait_until_ready(&next).await;
+        let status = common::get_text(&next, "/admin/status").await;
         let status: serde_json::Value = serde_json::from_str(&status).unwrap();
-        knows(&self.entry, status["number"].as_u64().unwrap()).await;
+        wait_for_number(&self.entry, status["number"].as_u64().unwrap()).await;
         std::mem::replace(&mut self.upstream, next)
     }
 
@@ -104,7 +104,7 @@
     let other = desk.call("a", "30000", "another seat").await;
     assert_eq!((other.status, other.code().as_str()), (422, "key_reused"));
     assert_eq!((other.ran().as_str(), desk.ran("a").await), ("not_run", 1));
-    let without = finish(ask(&desk.entry, "/v1/call/book/seats"), &json!({})).await;
+    let without = send_request(build_request(&desk.entry, "/v1/call/book/seats"), &json!({})).await;
     assert_eq!((without.status, without.code().as_str()), (400, "bad_request"));
 }
 
@@ -147,7 +147,8 @@
 async fn a_first_call_without_the_table_is_refused_soon() {
     let desk = Desk::fresh().await;
     control(&desk.platform).set(Rule::new(Fault::Outage)).await.unwrap();
-    let refused = tokio::time::timeout(common::PATIENCE, desk.call("a", "600000", "seat")).await;
+    let refused =
+        tokio::time::timeout(common::EVENT_TIMEOUT, desk.call("a", "600000", "seat")).await;
     let refused = refused.unwrap();
     assert_eq!((refused.status, refused.code().as_str()), (503, "store_down"));
     assert_eq!((refused.ran().as_str(), refused.retry_after), ("not_run", Some(1)));
@@ -201,7 +202,7 @@
     desk.service(Fault::LateAnswer { millis: 600 }).await;
     let late = desk.call("a", "300", "seat").await;
     assert_eq!(late.ran(), "unknown", "{}", late.body);
-    let replayed = until("the outcome", async || {
+    let replayed = wait_until("the outcome", async || {
         let repeat = desk.book("a").await;
         (repeat.status == 200).then_some(repeat)
     })
@@ -217,7 +218,7 @@
     let mut desk = Desk::start().await;
     desk.service(Fault::LateAnswer { millis: 600_000 }).await;
     let killed = async {
-        until("the execution", async || (desk.ran("a").await == 1).then_some(())).await;
+        wait_until("the execution", async || (desk.ran("a").await == 1).then_some(())).await;
         desk.upstream.signal("-KILL");
     };
     let (cut, ()) = futures_util::future::join(desk.book("a"), killed).await;
@@ -237,7 +238,7 @@
     let mut desk = Desk::start().await;
     desk.table(Fault::LateAnswer { millis: 300 }, 0).await;
     let paused = async {
-        until("the claim", async || (desk.committed().await > 0).then_some(())).await;
+        wait_until("the claim", async || (desk.committed().await > 0).then_some(())).await;
         desk.upstream.signal("-STOP");
     };
     let first = desk.call("a", "1000", "seat");
--- a/kingcupbayd/tests/operators.rs
+++ b/kingcupbayd/tests/operators.rs
@@ -6,12 +6,15 @@
 
 use std::process::Command;
 
-use common::{Process, ask, completion, daemon, finish, knows, model_upstream, ready, standin};
+use common::{
+    Process, build_request, completion_body, model_upstream, send_request, start_daemon,
+    start_standin, wait_for_number, wait_until_ready,
+};
 use kingcupbay_core::config::change::Change;
 
 /// Runs the tool; its exit code, output and errors.
 fn tool(daemons: &[&Process], args: &[&str]) -> (i32, String, String) {
-    let mut command = Command::new(common::built("kingcupbay"));
+    let mut command = Command::new(common::binary_path("kingcupbay"));
     command.env_remove("KINGCUPBAY_DAEMON").args(["--author", "ops"]).args(args);
     for daemon in daemons {
         command.arg("--daemon").arg(daemon.address("operators").to_string());
@@ -33,12 +36,12 @@
 /// a stale patch is refused.
 #[actix_rt::test]
 async fn an_operator_configures_a_fleet_with_the_tool() {
-    let platform = standin("platform", &["--load", "1"]);
-    let engine = standin("engine", &["--fenced", "--load", "1"]);
-    let upstream = daemon("upstream", "upstream-1", &platform, "");
-    let entry = daemon("entry", "entry-1", &platform, "");
-    ready(&upstream).await;
-    ready(&entry).await;
+    let platform = start_standin("platform", &["--load", "1"]);
+    let engine = start_standin("engine", &["--fenced", "--load", "1"]);
+    let upstream = start_daemon("upstream", "upstream-1", &platform, "");
+    let entry = start_daemon("entry", "entry-1", &platform, "");
+    wait_until_ready(&upstream).await;
+    wait_until_ready(&entry).await;
     let words = |line: &'static str| line.split(' ').collect::<Vec<_>>();
     done(&entry, &words("organisation set winery --rate 10000 --burst 100000"));
     let secret = done(&entry, &words("key issue desk --organisation winery"));
@@ -52,11 +55,11 @@
     let rest = ["--fenced", "true", "--address", row.address.as_str()];
     let taken = done(&entry, &[set, rest.to_vec()].concat());
     let number: u64 = taken.split(' ').nth(1).unwrap().parse().unwrap();
-    knows(&upstream, number).await;
-    knows(&entry, number).await;
+    wait_for_number(&upstream, number).await;
+    wait_for_number(&entry, number).await;
 
-    let request = ask(&entry, "/v1/completions").bearer_auth(secret.trim());
-    let answer = finish(request, &completion("tasting@v1", 3)).await;
+    let request = build_request(&entry, "/v1/completions").bearer_auth(secret.trim());
+    let answer = send_request(request, &completion_body("tasting@v1", 3)).await;
     assert_eq!((answer.status, answer.events().len()), (200, 4), "{}", answer.body);
 
     let export = done(&entry, &["export"]);
@@ -89,11 +92,13 @@
 /// The daemon an operator named first is gone; the second takes the patch.
 #[actix_rt::test]
 async fn another_daemon_takes_the_patch_when_the_first_is_gone() {
-    let platform = standin("platform", &[]);
-    let (one, two) =
-        (daemon("entry", "entry-1", &platform, ""), daemon("entry", "entry-2", &platform, ""));
-    ready(&one).await;
-    ready(&two).await;
+    let platform = start_standin("platform", &[]);
+    let (one, two) = (
+        start_daemon("entry", "entry-1", &platform, ""),
+        start_daemon("entry", "entry-2", &platform, ""),
+    );
+    wait_until_ready(&one).await;
+    wait_until_ready(&two).await;
     one.signal("-KILL");
     let args = ["organisation", "set", "winery", "--rate", "1", "--burst", "1"];
     let (code, output, errors) = tool(&[&one, &two], &args);
--- a/kingcupbayd/tests/registered.rs
+++ b/kingcupbayd/tests/registered.rs
@@ -11,8 +11,8 @@
 };
 
 use common::{
-    registered::{ANY, Fleet, Got, KEY, config, entry},
-    until,
+    registered::{ANY_PORT, CallerAnswer, Fleet, KEY, config_row, start_entry},
+    wait_until,
 };
 use kingcupbay_standin::{Fault, Registry, Rule, Runner, RunnerSettings};
 use serde_json::json;
@@ -23,12 +23,12 @@
 #[actix_rt::test]
 async fn a_plain_answer_is_passed_on_unchanged() {
     let fleet = Fleet::start(1).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
-    fleet.ready().await;
+    fleet.wait_until_ready().await;
     let extra = [("x-tenant", "another"), ("x-hold", "7"), ("x-party", "2")];
-    let got = fleet.ask_with("POST", "/seats/today?at=noon", "a1", KEY, &extra).await;
-    assert_eq!((got.status, got.stamp.as_deref()), (200, Some("stamp-of-a1")), "{got:?}");
+    let got = fleet.send_with("POST", "/seats/today?at=noon", "a1", KEY, &extra).await;
+    assert_eq!((got.status, got.signature.as_deref()), (200, Some("stamp-of-a1")), "{got:?}");
     assert_eq!(got.body.unwrap(), "done by desk-1");
     let run = &desk.runs()[0];
     assert_eq!(
@@ -46,10 +46,10 @@
 /// key from one it has not read yet, so it must not call either unknown.
 #[actix_rt::test]
 async fn an_entry_without_a_configuration_asks_callers_to_come_back() {
-    let store = Registry::start(ANY).unwrap();
-    let entry = entry("entry-1", &store, 1);
+    let store = Registry::start(ANY_PORT).unwrap();
+    let entry = start_entry("entry-1", &store, 1);
     let fleet = Fleet { store, entry };
-    let got = fleet.ask("GET", "/seats/today", "a1").await;
+    let got = fleet.send("GET", "/seats/today", "a1").await;
     assert_eq!(got.status, 503, "{got:?}");
     assert!(got.retry_after.is_some());
 }
@@ -60,23 +60,23 @@
 #[actix_rt::test]
 async fn a_withdrawn_key_stops_working_and_stays_withdrawn() {
     let fleet = Fleet::start(1).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
-    fleet.ready().await;
-    assert_eq!(fleet.ask("GET", "/seats/today", "a1").await.status, 200);
-    fleet.store.put("op", "config", &config(5, &["another-key"]));
-    until("the refusal", async || {
-        (fleet.ask("GET", "/seats/today", "a2").await.status == 401).then_some(())
+    fleet.wait_until_ready().await;
+    assert_eq!(fleet.send("GET", "/seats/today", "a1").await.status, 200);
+    fleet.store.put("op", "config", &config_row(5, &["another-key"]));
+    wait_until("the refusal", async || {
+        (fleet.send("GET", "/seats/today", "a2").await.status == 401).then_some(())
     })
     .await;
-    fleet.store.put("op", "config", &config(4, &[KEY]));
-    fleet.store.put("op", "config", &config(6, &["a-third-key"]));
-    until("the third key", async || {
-        let got = fleet.ask_with("GET", "/seats/today", "a3", "a-third-key", &[]).await;
+    fleet.store.put("op", "config", &config_row(4, &[KEY]));
+    fleet.store.put("op", "config", &config_row(6, &["a-third-key"]));
+    wait_until("the third key", async || {
+        let got = fleet.send_with("GET", "/seats/today", "a3", "a-third-key", &[]).await;
         (got.status == 200).then_some(())
     })
     .await;
-    assert_eq!(fleet.ask("GET", "/seats/today", "a4").await.status, 401);
+    assert_eq!(fleet.send("GET", "/seats/today", "a4").await.status, 401);
 }
 
 /// The store drops its history while an entry follows it. The feed fails, and
@@ -84,13 +84,13 @@
 #[actix_rt::test]
 async fn a_dropped_history_is_read_anew() {
     let fleet = Fleet::start(1).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
-    fleet.ready().await;
-    fleet.store.put("op", "config", &config(2, &["another-key"]));
+    fleet.wait_until_ready().await;
+    fleet.store.put("op", "config", &config_row(2, &["another-key"]));
     fleet.store.forget();
-    until("the new key", async || {
-        let got = fleet.ask_with("GET", "/seats/today", "a1", "another-key", &[]).await;
+    wait_until("the new key", async || {
+        let got = fleet.send_with("GET", "/seats/today", "a1", "another-key", &[]).await;
         (got.status == 200).then_some(())
     })
     .await;
@@ -101,17 +101,17 @@
 /// be found.
 #[actix_rt::test]
 async fn rows_on_several_pages_are_all_read() {
-    let store = Registry::start(ANY).unwrap();
-    store.put("op", "config", &config(1, &[KEY]));
+    let store = Registry::start(ANY_PORT).unwrap();
+    store.put("op", "config", &config_row(1, &[KEY]));
     for row in 0..600 {
         store.put("servers", &format!("a & {row}\u{1}%"), &json!({"state": "gone"}));
     }
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     store.put("servers", "desk-1", &desk.registration("desk", "ready"));
-    let entry = entry("entry-1", &store, 1);
+    let entry = start_entry("entry-1", &store, 1);
     let fleet = Fleet { store, entry };
-    fleet.ready().await;
-    assert_eq!(fleet.ask("GET", "/seats/today", "a1").await.status, 200);
+    fleet.wait_until_ready().await;
+    assert_eq!(fleet.send("GET", "/seats/today", "a1").await.status, 200);
 }
 
 /// Another program writes a row among the upstreams that is not JSON, and one
@@ -121,10 +121,10 @@
     let fleet = Fleet::start(1).await;
     fleet.store.put_bytes("servers", "bytes", &[0xff, 0x00]);
     fleet.store.put("servers", "half", &json!({"service": "desk", "state": "ready"}));
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
-    fleet.ready().await;
-    assert_eq!(fleet.ask("GET", "/seats/today", "a1").await.status, 200);
+    fleet.wait_until_ready().await;
+    assert_eq!(fleet.send("GET", "/seats/today", "a1").await.status, 200);
 }
 
 /// A booking reaches the desk, which takes the seats, and its answer is lost
@@ -134,13 +134,13 @@
 async fn a_booking_whose_answer_is_lost_is_not_sent_again() {
     let fleet = Fleet::start(1).await;
     let desks = ["desk-1", "desk-2"].map(|id| {
-        let desk = Runner::start(ANY, RunnerSettings::plain(id)).unwrap();
+        let desk = Runner::start(ANY_PORT, RunnerSettings::plain(id)).unwrap();
         desk.server().set(Rule::new(Fault::LoseAnswer).path("/book/"));
         fleet.register(id, "desk", &desk);
         desk
     });
-    fleet.ready().await;
-    let got = fleet.ask("POST", "/book/table", "a1").await;
+    fleet.wait_until_ready().await;
+    let got = fleet.send("POST", "/book/table", "a1").await;
     assert_eq!(got.status, 502, "{got:?}");
     let runs: usize = desks.iter().map(|desk| desk.runs().len()).sum();
     assert_eq!(runs, 1);
@@ -152,14 +152,14 @@
 async fn a_lookup_whose_answer_is_lost_goes_to_another_desk() {
     let fleet = Fleet::start(1).await;
     let desks = ["desk-1", "desk-2"].map(|id| {
-        let desk = Runner::start(ANY, RunnerSettings::plain(id)).unwrap();
+        let desk = Runner::start(ANY_PORT, RunnerSettings::plain(id)).unwrap();
         fleet.register(id, "desk", &desk);
         desk
     });
     desks[0].server().set(Rule::new(Fault::LoseAnswer).path("/seats/"));
-    fleet.ready().await;
+    fleet.wait_until_ready().await;
     for attempt in ["a1", "a2", "a3", "a4"] {
-        let got = fleet.ask("GET", "/seats/today", attempt).await;
+        let got = fleet.send("GET", "/seats/today", attempt).await;
         assert_eq!((got.status, got.body.unwrap().as_str()), (200, "done by desk-2"));
     }
 }
@@ -182,13 +182,13 @@
     address
 }
 
-async fn raw_answer(answer: &'static str, reset: bool) -> Got {
+async fn raw_answer(answer: &'static str, reset: bool) -> CallerAnswer {
     let fleet = Fleet::start(1).await;
     let address = raw_upstream(answer, reset).to_string();
     let row = json!({"service": "desk", "address": address, "zone": "zone-a", "state": "ready"});
     fleet.store.put("servers", "raw", &row);
-    fleet.ready().await;
-    fleet.ask("POST", "/book/table", "a1").await
+    fleet.wait_until_ready().await;
+    fleet.send("POST", "/book/table", "a1").await
 }
 
 /// A desk names no length and ends its answer by closing the connection. The
@@ -247,14 +247,14 @@
     });
     let row = json!({"service": "desk", "address": address, "zone": "zone-a", "state": "ready"});
     fleet.store.put("servers", "mute", &row);
-    fleet.ready().await;
+    fleet.wait_until_ready().await;
     // The caller leaves once the desk has heard of its request; before that
     // nothing was sent that could arrive.
     tokio::select! {
-        got = fleet.ask("POST", "/book/table", "a1") => panic!("an answer: {got:?}"),
-        () = until("the request", async || came.try_recv().ok()) => {}
+        got = fleet.send("POST", "/book/table", "a1") => panic!("an answer: {got:?}"),
+        () = wait_until("the request", async || came.try_recv().ok()) => {}
     }
-    let end = until("the end", async || end.try_recv().ok()).await;
+    let end = wait_until("the end", async || end.try_recv().ok()).await;
     assert_eq!(end, Some(std::io::ErrorKind::ConnectionReset));
 }
 
@@ -265,10 +265,10 @@
 async fn an_entry_that_was_taken_off_the_list_comes_back() {
     let fleet = Fleet::start(1).await;
     let listed = || fleet.store.keys("entries") == ["entry-1"];
-    until("the registration", async || listed().then_some(())).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    wait_until("the registration", async || listed().then_some(())).await;
+    let desk = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
-    fleet.ready().await;
+    fleet.wait_until_ready().await;
     fleet.store.put(
         "entries",
         "entry-2",
@@ -276,12 +276,12 @@
         "address": "127.0.0.1:1", "zone": "zone-a", "incarnation": 2}),
     );
     fleet.store.remove("entries", "entry-1");
-    until("the second registration", async || {
+    wait_until("the second registration", async || {
         fleet.store.keys("entries").contains(&"entry-1".to_owned()).then_some(())
     })
     .await;
-    until("an answer", async || {
-        (fleet.ask("GET", "/seats/today", "a1").await.status == 200).then_some(())
+    wait_until("an answer", async || {
+        (fleet.send("GET", "/seats/today", "a1").await.status == 200).then_some(())
     })
     .await;
 }
@@ -290,25 +290,30 @@
 /// the other: together they let no more through than the burst and the rate.
 #[actix_rt::test]
 async fn two_entries_count_one_limit() {
-    let store = Registry::start(ANY).unwrap();
-    let mut limited = config(1, &[KEY]);
+    let store = Registry::start(ANY_PORT).unwrap();
+    let mut limited = config_row(1, &[KEY]);
     limited["tenants"][0]["ratePerS"] = json!(1);
     limited["tenants"][0]["burst"] = json!(1_000);
     store.put("op", "config", &limited);
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     store.put("servers", "desk-1", &desk.registration("desk", "ready"));
     let fleets: Vec<Fleet> = ["entry-1", "entry-2"]
         .into_iter()
-        .map(|host| Fleet { store: Registry::start(ANY).unwrap(), entry: entry(host, &store, 1) })
+        .map(|host| Fleet {
+            store: Registry::start(ANY_PORT).unwrap(),
+            entry: start_entry(host, &store, 1),
+        })
         .collect();
     for fleet in &fleets {
-        fleet.ready().await;
+        fleet.wait_until_ready().await;
     }
-    until("both entries on the list", async || (store.keys("entries").len() == 2).then_some(()))
-        .await;
+    wait_until("both entries on the list", async || {
+        (store.keys("entries").len() == 2).then_some(())
+    })
+    .await;
     let mut served = 0;
     for attempt in 0..30 {
-        let got = fleets[attempt % 2].ask("GET", "/seats/today", &format!("a{attempt}")).await;
+        let got = fleets[attempt % 2].send("GET", "/seats/today", &format!("a{attempt}")).await;
         served += u32::from(got.status == 200);
         if got.status != 200 {
             assert_eq!(got.status, 429);
@@ -330,12 +335,12 @@
     /// Within this an upstream that leaves must get nothing new.
     const LEAVING_MS: u64 = 2_000;
     let fleet = Fleet::start(1).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
-    fleet.ready().await;
+    fleet.wait_until_ready().await;
     fleet.store.set_deaf(true);
     fleet.store.forget();
-    until("deaf feeds", async || {
+    wait_until("deaf feeds", async || {
         let all =
             ["op", "servers", "entries"].iter().all(|table| fleet.store.deaf_feeds(table) > 0);
         all.then_some(())
@@ -343,8 +348,8 @@
     .await;
     fleet.store.set_deaf(false);
     fleet.store.put("servers", "desk-1", &desk.registration("desk", "draining"));
-    until("no more bookings at the desk", async || {
-        (fleet.ask("GET", "/seats/today", "a1").await.status == 503).then_some(())
+    wait_until("no more bookings at the desk", async || {
+        (fleet.send("GET", "/seats/today", "a1").await.status == 503).then_some(())
     })
     .await;
     for table in ["op", "servers"] {
--- a/kingcupbayd/tests/route.rs
+++ b/kingcupbayd/tests/route.rs
@@ -4,13 +4,15 @@
 
 mod common;
 
-use common::{Fleet, ask, completion, control, finish, get, name, until};
+use common::{
+    Fleet, build_request, completion_body, control, get_text, name, send_request, wait_until,
+};
 use kingcupbay_core::config::{change::Change, model::Config};
 use kingcupbay_standin::EngineRecord;
 
 /// Shows upstream `at` as leaving, or not.
 async fn set_leaving(fleet: &mut Fleet, at: usize, leaving: bool) {
-    let text = get(&fleet.entries[0], "/admin/config").await;
+    let text = get_text(&fleet.entries[0], "/admin/config").await;
     let config: Config = serde_json::from_str(&text).unwrap();
     let id = config.upstream_names[&name(&format!("gpu-{}", at + 1))];
     let mut upstream = config.upstreams.get(id).unwrap().clone();
@@ -24,8 +26,8 @@
 }
 
 async fn serve(fleet: &Fleet, entry: usize) {
-    let body = completion("tasting@v1", 4);
-    let answer = finish(ask(&fleet.entries[entry], "/v1/completions"), &body).await;
+    let body = completion_body("tasting@v1", 4);
+    let answer = send_request(build_request(&fleet.entries[entry], "/v1/completions"), &body).await;
     assert_eq!(answer.status, 200, "{}", answer.body);
 }
 
@@ -46,8 +48,8 @@
         format!("upstream=gpu-{} leaving=false reachable=true holds={count} ", at + 1)
     };
     set_leaving(&mut fleet, first, false).await;
-    until("the reports", async || {
-        let dump = get(&fleet.entries[1], "/admin/dump").await;
+    wait_until("the reports", async || {
+        let dump = get_text(&fleet.entries[1], "/admin/dump").await;
         (dump.contains(&held(first, 0)) && dump.contains(&held(other, 1))).then_some(())
     })
     .await;
--- a/kingcupbayd/tests/session.rs
+++ b/kingcupbayd/tests/session.rs
@@ -10,7 +10,7 @@
 
 use std::{collections::BTreeMap, path::Path};
 
-use common::{Fleet, Process, ask, completion, finish, pairs};
+use common::{Fleet, Process, build_request, completion_body, parse_pairs, send_request};
 use serde_json::json;
 
 /// Fields whose values differ from run to run.
@@ -20,7 +20,7 @@
 /// A log line in a stable form: fields sorted, what varies left out, request
 /// ids replaced by the order in which the caller met them.
 fn stable(line: &str, ids: &BTreeMap<String, usize>) -> Option<String> {
-    let mut fields = pairs(line);
+    let mut fields = parse_pairs(line);
     let event = fields.remove("event")?;
     fields.retain(|key, _| !VARYING.contains(&key.as_str()) && key != "level");
     if let Some(id) = fields.get_mut("request") {
@@ -52,19 +52,19 @@
     let mut ids = BTreeMap::new();
     let mut story = Vec::new();
     let asks = [
-        ("/v1/completions", completion("tasting@v1", 3)),
-        ("/v1/completions", completion("tasting", 2)),
-        ("/v1/completions", completion("tasting@v2", 2)),
+        ("/v1/completions", completion_body("tasting@v1", 3)),
+        ("/v1/completions", completion_body("tasting", 2)),
+        ("/v1/completions", completion_body("tasting@v2", 2)),
         (
             "/v1/chat/completions",
             json!({"model": "tasting@v2", "max_tokens": 2,
                 "messages": [{"role": "user", "content": "which room has a seat left"}]}),
         ),
-        ("/v1/completions", completion("nobodys@v1", 2)),
+        ("/v1/completions", completion_body("nobodys@v1", 2)),
         ("/v1/completions", json!({"model": "tasting@v1"})),
     ];
     for (at, (path, body)) in asks.iter().enumerate() {
-        let answer = finish(ask(&fleet.entries[0], path), body).await;
+        let answer = send_request(build_request(&fleet.entries[0], path), body).await;
         story.push(format!("caller asks {path} {body}"));
         let mut text = answer.body.clone();
         if let Some(id) = text.split("\"id\":\"").nth(1).and_then(|rest| rest.get(..32)) {
--- a/kingcupbayd/tests/share.rs
+++ b/kingcupbayd/tests/share.rs
@@ -7,7 +7,8 @@
 use std::{collections::BTreeMap, time::Instant};
 
 use common::{
-    Answer, Fleet, Process, ask, completion, control, daemon, finish, get, name, pairs, until,
+    Answer, Fleet, Process, build_request, completion_body, control, get_text, name, parse_pairs,
+    send_request, start_daemon, wait_until,
 };
 use kingcupbay_core::{config::change::Change, standing::FRESHNESS_BOUND};
 use kingcupbay_standin::{Fault, Rule};
@@ -27,9 +28,9 @@
 
 /// The share lines of an entry's dump: rate, capacity and level.
 async fn share(entry: &Process) -> BTreeMap<&'static str, u64> {
-    let dump = get(entry, "/admin/dump").await;
+    let dump = get_text(entry, "/admin/dump").await;
     let line = dump.lines().find(|line| line.starts_with("share organisation="));
-    let pairs = line.map(pairs).unwrap_or_default();
+    let pairs = line.map(parse_pairs).unwrap_or_default();
     let field = |key| (key, pairs.get(key).map_or(0, |value| value.parse().unwrap()));
     ["rate", "capacity", "level"].map(field).into()
 }
@@ -37,7 +38,7 @@
 /// Waits until the entries' shares are the organisation's whole allowance, and
 /// not more. A single look proves neither: a share may move between the dumps.
 async fn whole(entries: &[&Process]) {
-    until("whole shares", async || {
+    wait_until("whole shares", async || {
         let (mut rate, mut capacity) = (0, 0);
         for entry in entries {
             let share = share(entry).await;
@@ -52,7 +53,8 @@
 }
 
 async fn answer(entry: &Process) -> Answer {
-    finish(ask(entry, "/v1/completions"), &completion("tasting@v1", TOKENS)).await
+    send_request(build_request(entry, "/v1/completions"), &completion_body("tasting@v1", TOKENS))
+        .await
 }
 
 /// Sends to one entry until it refuses; returns the tokens served.
@@ -92,7 +94,7 @@
 async fn the_share_of_a_killed_entry_comes_back() {
     let mut fleet = pair().await;
     fleet.entries.remove(1).kill();
-    let successor = daemon("entry", "entry-2", &fleet.platform, "");
+    let successor = start_daemon("entry", "entry-2", &fleet.platform, "");
     whole(&[&fleet.entries[0], &successor]).await;
     assert_eq!(answer(&successor).await.status, 200);
 }
@@ -133,7 +135,7 @@
     let mut fleet = pair().await;
     let paused = fleet.entries.remove(1);
     paused.signal("-STOP");
-    let successor = daemon("entry", "entry-2", &fleet.platform, "");
+    let successor = start_daemon("entry", "entry-2", &fleet.platform, "");
     whole(&[&fleet.entries[0], &successor]).await;
     paused.signal("-CONT");
     let answer = answer(&paused).await;
--- a/kingcupbayd/tests/streams.rs
+++ b/kingcupbayd/tests/streams.rs
@@ -11,9 +11,9 @@
 };
 
 use common::{
-    PATIENCE, Process, client, get,
-    registered::{KEY, STREAM, engine_fleet, ids, settings, tour},
-    until,
+    EVENT_TIMEOUT, Process, client, get_text,
+    registered::{KEY, STREAM_HEADERS, event_ids, request_tour, settings_text, start_engine_fleet},
+    wait_until,
 };
 use kingcupbay_standin::{Registry, Runner, RunnerSettings};
 use serde_json::json;
@@ -23,9 +23,9 @@
 /// that came, so that no other can run it.
 #[actix_rt::test]
 async fn a_cold_adapter_is_loaded_and_its_version_named() {
-    let (fleet, engine, _beside) = engine_fleet(RunnerSettings::engine("gpu-1", 4)).await;
-    let got = tour(&fleet, "a1", None).await;
-    assert_eq!((got.status, ids(got.body.as_ref().unwrap())), (200, vec![1, 2, 3, 4]));
+    let (fleet, engine, _beside) = start_engine_fleet(RunnerSettings::engine("gpu-1", 4)).await;
+    let got = request_tour(&fleet, "a1", None).await;
+    assert_eq!((got.status, event_ids(got.body.as_ref().unwrap())), (200, vec![1, 2, 3, 4]));
     let orders = engine.orders();
     assert_eq!(orders.len(), 1, "{orders:?}");
     assert_eq!((&orders[0]["operation"], &orders[0]["adapter"]), (&json!("load"), &json!("roses")));
@@ -37,9 +37,9 @@
 /// and how long streams stood still on the metrics addresses of both daemons.
 #[actix_rt::test]
 async fn both_daemons_count_what_became_of_a_stream() {
-    let (fleet, _engine, beside) = engine_fleet(RunnerSettings::engine("gpu-1", 4)).await;
-    assert_eq!(tour(&fleet, "a1", None).await.status, 200);
-    let counts = get(&beside, "/metrics").await;
+    let (fleet, _engine, beside) = start_engine_fleet(RunnerSettings::engine("gpu-1", 4)).await;
+    assert_eq!(request_tour(&fleet, "a1", None).await.status, 200);
+    let counts = get_text(&beside, "/metrics").await;
     for line in [
         "kingcupbay_places_total{verdict=\"granted\"} 1",
         "kingcupbay_place_wait_seconds_count{verdict=\"granted\"} 1",
@@ -47,7 +47,7 @@
     ] {
         assert!(counts.contains(line), "no {line} in\n{counts}");
     }
-    let counts = get(&fleet.entry, "/metrics").await;
+    let counts = get_text(&fleet.entry, "/metrics").await;
     let line = "kingcupbay_event_gap_seconds_count{route=\"tour\"} 1";
     assert!(counts.contains(line), "no {line} in\n{counts}");
 }
@@ -56,10 +56,10 @@
 /// each would cost the engine a handshake and a slot for its time.
 #[actix_rt::test]
 async fn a_whole_stream_leaves_its_connection_for_the_next() {
-    let (fleet, engine, _beside) = engine_fleet(RunnerSettings::engine("gpu-1", 2)).await;
-    assert_eq!(tour(&fleet, "a1", None).await.status, 200);
+    let (fleet, engine, _beside) = start_engine_fleet(RunnerSettings::engine("gpu-1", 2)).await;
+    assert_eq!(request_tour(&fleet, "a1", None).await.status, 200);
     let before = engine.server().connections();
-    assert_eq!(tour(&fleet, "a2", None).await.status, 200);
+    assert_eq!(request_tour(&fleet, "a2", None).await.status, 200);
     assert_eq!(engine.server().connections(), before);
     assert_eq!(engine.runs().len(), 2);
 }
@@ -68,13 +68,13 @@
 /// idle. The next visitor must be answered by the new one.
 #[actix_rt::test]
 async fn an_announced_version_replaces_the_old_one() {
-    let (fleet, engine, _beside) = engine_fleet(RunnerSettings::engine("gpu-1", 2)).await;
-    assert_eq!(tour(&fleet, "a1", None).await.status, 200);
+    let (fleet, engine, _beside) = start_engine_fleet(RunnerSettings::engine("gpu-1", 2)).await;
+    assert_eq!(request_tour(&fleet, "a1", None).await.status, 200);
     engine.announce("roses", 2);
     let row = json!({"model": "base", "adapter": "roses", "version": 2});
     fleet.store.put("op", "version/base.roses", &row);
-    until("the new version", async || {
-        let got = tour(&fleet, "a2", None).await;
+    wait_until("the new version", async || {
+        let got = request_tour(&fleet, "a2", None).await;
         let run = engine.runs().last().cloned().unwrap();
         (got.status == 200 && run.headers["x-expect-version"] == "2").then_some(())
     })
@@ -92,7 +92,7 @@
 /// The daemon beside a second engine listens where the entry looks for it: at
 /// that engine's address, at the port of the first.
 fn second_sidecar(store: &Registry, engine: &Runner, port: u16) -> Process {
-    let text = settings(
+    let text = settings_text(
         "upstream",
         "upstream-2",
         store.server().address(),
@@ -113,24 +113,24 @@
 #[actix_rt::test]
 async fn a_broken_stream_goes_on_at_another_engine() {
     let cut = |id| RunnerSettings { cut: Some(3), ..RunnerSettings::engine(id, 6) };
-    let (mut fleet, first, mut beside) = engine_fleet(cut("gpu-1")).await;
+    let (mut fleet, first, mut beside) = start_engine_fleet(cut("gpu-1")).await;
     let second = Runner::start(SocketAddr::new(second_host(), 0), cut("gpu-2")).unwrap();
     let mut other = second_sidecar(&fleet.store, &second, beside.address("peers").port());
     fleet.register("gpu-2", "writer", &second);
-    until("both engines", async || {
+    wait_until("both engines", async || {
         let known = fleet.entry.has_line("id=gpu-2");
         let asked = beside.has_line("event=report") && other.has_line("event=report");
         (known && asked).then_some(())
     })
     .await;
-    let got = tour(&fleet, "a1", None).await;
+    let got = request_tour(&fleet, "a1", None).await;
     let runs: Vec<_> = first.runs().into_iter().chain(second.runs()).collect();
     let begun: Vec<_> =
         runs.iter().map(|run| (&run.attempt, run.headers.get("last-event-id"))).collect();
     fleet.entry.has_line("event=streamed");
     let story = format!("{got:?}, runs {begun:?}, lines\n{}", fleet.entry.seen.join("\n"));
     assert_eq!(got.status, 200, "{story}");
-    let ids = got.body.as_deref().map(ids);
+    let ids = got.body.as_deref().map(event_ids);
     assert_eq!(ids, Ok(vec![1, 2, 3, 4, 5, 6]), "{story}");
     assert_eq!(runs.len(), 2, "{story}");
     let resumed = runs.iter().filter_map(|run| run.headers.get("last-event-id"));
@@ -145,7 +145,7 @@
         pause: Duration::from_millis(50),
         ..RunnerSettings::engine("gpu-1", 100_000)
     };
-    let (fleet, engine, _beside) = engine_fleet(slow).await;
+    let (fleet, engine, _beside) = start_engine_fleet(slow).await;
     let url = format!("http://{}/tour/day", fleet.entry.address("callers"));
     for attempt in 0..200 {
         let request = client()
@@ -153,8 +153,8 @@
             .insert_header(("host", "desk.example"))
             .insert_header(("x-attempt-id", format!("a{attempt}")))
             .insert_header(("x-deadline-ms", "10000"))
-            .insert_header(STREAM[0])
-            .insert_header(STREAM[1])
+            .insert_header(STREAM_HEADERS[0])
+            .insert_header(STREAM_HEADERS[1])
             .bearer_auth(KEY);
         let response = request.send().await.unwrap();
         if response.status() == 200 {
@@ -163,7 +163,7 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     engine.ran(1).await;
-    tokio::time::timeout(PATIENCE, engine.left(1)).await.unwrap();
+    tokio::time::timeout(EVENT_TIMEOUT, engine.left(1)).await.unwrap();
 }
 
 /// The platform stops an entry. It says at once that it is not ready, lets the
@@ -172,20 +172,20 @@
 async fn a_planned_stop_cuts_no_stream() {
     let slow =
         RunnerSettings { pause: Duration::from_millis(20), ..RunnerSettings::engine("gpu-1", 60) };
-    let (fleet, engine, _beside) = engine_fleet(slow).await;
-    let asked = tour(&fleet, "a1", None);
+    let (fleet, engine, _beside) = start_engine_fleet(slow).await;
+    let asked = request_tour(&fleet, "a1", None);
     let stopped = async {
         engine.ran(1).await;
         fleet.entry.signal("-TERM");
         let url = format!("http://{}/ready", fleet.entry.address("ready"));
-        until("unreadiness", async || {
+        wait_until("unreadiness", async || {
             let answer = client().get(&url).send().await;
             answer.map_or(true, |answer| !answer.status().is_success()).then_some(())
         })
         .await;
     };
     let (got, ()) = tokio::join!(asked, stopped);
-    assert_eq!(ids(&got.body.unwrap()).len(), 60);
+    assert_eq!(event_ids(&got.body.unwrap()).len(), 60);
     let (ok, lines) = fleet.entry.wait();
     assert!(ok, "{}", lines.join("\n"));
 }
