--- a/kingcupbayd/src/active.rs
+++ b/kingcupbayd/src/active.rs
@@ -18,17 +18,17 @@
 
 /// Every request that this daemon works on.
 #[derive(Clone, Default)]
-pub(crate) struct Active {
+pub(crate) struct ActiveRequests {
     rows: Rows,
 }
 
 /// One request; its drop takes it off the list.
-pub(crate) struct Entered {
+pub(crate) struct ActiveGuard {
     request: RequestId,
     rows: Rows,
 }
 
-impl Active {
+impl ActiveRequests {
     /// Puts a request on the list until the guard is dropped.
     pub(crate) fn enter(
         &self,
@@ -36,7 +36,7 @@
         organisation: &str,
         model: &str,
         began: Instant,
-    ) -> Entered {
+    ) -> ActiveGuard {
         let row = Row {
             organisation: organisation.to_owned(),
             model: model.to_owned(),
@@ -45,7 +45,7 @@
             tokens: 0,
         };
         self.rows.borrow_mut().insert(request, row);
-        Entered { request, rows: self.rows.clone() }
+        ActiveGuard { request, rows: self.rows.clone() }
     }
 
     /// One line for each request, in the order of their ids.
@@ -66,7 +66,7 @@
     }
 }
 
-impl Entered {
+impl ActiveGuard {
     /// Names the upstream that has the request.
     pub(crate) fn on_upstream(&self, upstream: &str) {
         if let Some(row) = self.rows.borrow_mut().get_mut(&self.request)
@@ -84,7 +84,7 @@
     }
 }
 
-impl Drop for Entered {
+impl Drop for ActiveGuard {
     fn drop(&mut self) {
         self.rows.borrow_mut().remove(&self.request);
     }
--- a/kingcupbayd/src/admin/mod.rs
+++ b/kingcupbayd/src/admin/mod.rs
@@ -96,7 +96,7 @@
         standing: daemon.fleet.holds(crate::clock::now()),
         number: config.number,
         members: config.members.len(),
-        connections: daemon.drain.open(),
+        connections: daemon.drain.open_connections(),
     }
 }
 
--- a/kingcupbayd/src/config/mod.rs
+++ b/kingcupbayd/src/config/mod.rs
@@ -37,14 +37,14 @@
     /// Where operators and probes connect.
     pub operators: Listener,
     /// Where the configuration lives.
-    pub backing: Backing,
+    pub config_source: ConfigSource,
     /// Timeouts and bounds that seldom need a change.
     pub tuning: Tuning,
 }
 
 /// Where the configuration lives, and who changes it.
 #[derive(Clone, Debug)]
-pub enum Backing {
+pub enum ConfigSource {
     /// In the table, as patches that operators send to the daemons.
     Patches(Platform),
     /// In the platform's store, where the operator writes it whole.
@@ -75,16 +75,16 @@
         let daemon = Daemon::read(&mut reader);
         let entry = daemon.role == Role::Entry;
         let callers = entry.then(|| Callers::read(&mut reader));
-        let backing = match reader.has("registry") {
-            true => Backing::Registry(Registry::read(&mut reader, daemon.role)),
-            false => Backing::Patches(Platform::read(&mut reader)),
+        let config_source = match reader.has("registry") {
+            true => ConfigSource::Registry(Registry::read(&mut reader, daemon.role)),
+            false => ConfigSource::Patches(Platform::read(&mut reader)),
         };
         let settings = Settings {
             daemon,
             callers,
             peers: Listener::read(&mut reader, "peers"),
             operators: Listener::read(&mut reader, "operators"),
-            backing,
+            config_source,
             tuning: Tuning::read(&mut reader),
         };
         reader.finish()?;
--- a/kingcupbayd/src/entry/mod.rs
+++ b/kingcupbayd/src/entry/mod.rs
@@ -13,7 +13,7 @@
 use slog::Logger;
 
 use crate::{
-    active::Active,
+    active::ActiveRequests,
     clock,
     config::Settings,
     fleet::Fleet,
@@ -42,7 +42,7 @@
     shares: Rc<Shares>,
     routes: route::Routes,
     clients: Clients,
-    active: Active,
+    active: ActiveRequests,
     metrics: Rc<Metrics>,
     drain: Drain,
     log: Logger,
@@ -66,7 +66,7 @@
             shares,
             routes,
             clients,
-            active: Active::default(),
+            active: ActiveRequests::default(),
             metrics,
             drain,
             log,
--- a/kingcupbayd/src/entry/outcome.rs
+++ b/kingcupbayd/src/entry/outcome.rs
@@ -10,7 +10,7 @@
 use slog::{Logger, info, warn};
 
 use super::{Entry, admission::Caller};
-use crate::{active::Entered, clock, metrics::Metrics};
+use crate::{active::ActiveGuard, clock, metrics::Metrics};
 
 /// A request between its admission and its end.
 ///
@@ -27,7 +27,7 @@
     tokens: u32,
     usage: Usage,
     open: bool,
-    entered: Entered,
+    entered: ActiveGuard,
     metrics: Rc<Metrics>,
     log: Logger,
 }
--- a/kingcupbayd/src/entry/relay.rs
+++ b/kingcupbayd/src/entry/relay.rs
@@ -28,7 +28,7 @@
 use super::{Entry, admission::Caller};
 use crate::{
     clock,
-    http::{body, client::never_left},
+    http::{body, client::is_unsent},
 };
 
 /// When to come back if every upstream refused: a load report takes about as
@@ -278,7 +278,7 @@
                 Ok(Box::pin(FramedRead::new(StreamReader::new(bytes), codec)))
             }
             Ok(Ok(_)) => Err(Broken::Unreachable),
-            Ok(Err(error)) if never_left(&error) => Err(Broken::Unreachable),
+            Ok(Err(error)) if is_unsent(&error) => Err(Broken::Unreachable),
             Ok(Err(_)) => Err(Broken::Cut),
             Err(_) => Err(Broken::Silent),
         }
@@ -336,7 +336,7 @@
     /// Ends the attempt whose last frame came, and keeps its connection.
     fn release(&mut self) {
         if let Some(Attempt { frames, .. }) = self.attempt.take() {
-            actix_rt::spawn(body::exhaust(frames));
+            actix_rt::spawn(body::drain(frames));
         }
     }
 
--- a/kingcupbayd/src/gateway/metrics.rs
+++ b/kingcupbayd/src/gateway/metrics.rs
@@ -3,7 +3,7 @@
 use kingcupbay_core::{time::Span, wire::error::Code};
 use prometheus::{HistogramVec, IntCounter, IntCounterVec, Registry};
 
-use crate::metrics::{GAP, LATENCY, counter, counters, histograms, text};
+use crate::metrics::{EVENT_GAP_BUCKETS, LATENCY_BUCKETS, counter, counters, histograms, text};
 
 /// Every metric of an entry.
 pub(crate) struct Metrics {
@@ -47,21 +47,21 @@
                 "kingcupbay_answer_seconds",
                 "Time to a whole answer of a plain service",
                 &["route"],
-                LATENCY,
+                LATENCY_BUCKETS,
             ),
             first_event: histograms(
                 &registry,
                 "kingcupbay_first_event_seconds",
                 "Time to the first event of a stream",
                 &["route"],
-                LATENCY,
+                LATENCY_BUCKETS,
             ),
             gap: histograms(
                 &registry,
                 "kingcupbay_event_gap_seconds",
                 "Longest time between two events of a whole stream",
                 &["route"],
-                GAP,
+                EVENT_GAP_BUCKETS,
             ),
             resumed: counter(
                 &registry,
--- a/kingcupbayd/src/http/body.rs
+++ b/kingcupbayd/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Reading of bodies within a size and a time, and of answers whole.
+//! Reading of bodies within a size and time limit, and of complete answers.
 
 use actix_http::{Payload, header};
 use awc::ClientResponse;
@@ -12,10 +12,10 @@
 use serde::de::IgnoredAny;
 use thiserror::Error;
 
-/// Why an answer's body is not whole.
+/// Why an answer's body is incomplete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
-pub(crate) enum Partial {
+pub(crate) enum BodyError {
     /// The connection failed, or the body is too long.
     #[error("the answer broke off: {0}")]
     Failed(String),
@@ -24,15 +24,16 @@
     Ended,
 }
 
-/// Reads the whole body of an answer.
+/// Reads the whole body of an answer of at most `limit` bytes.
 ///
-/// The client takes the end of a connection for the end of the body. A half
-/// verdict must not pass for a whole one: the length that the head announced
-/// tells, and where it announced none, a JSON body must be complete JSON.
-pub(crate) async fn whole<S>(
+/// The client library takes the end of a connection for the end of the body. A
+/// truncated answer must not pass for a complete one, so the body is checked
+/// against the announced length, or, without one, a JSON body must be complete
+/// JSON.
+pub(crate) async fn read_whole<S>(
     response: &mut ClientResponse<S>,
     limit: usize,
-) -> Result<Bytes, Partial>
+) -> Result<Bytes, BodyError>
 where
     S: Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin,
 {
@@ -40,31 +41,31 @@
     let length = text(header::CONTENT_LENGTH).and_then(|text| text.parse::<usize>().ok());
     let json = text(header::CONTENT_TYPE).is_some_and(|kind| kind.starts_with("application/json"));
     let body = response.body().limit(limit).await;
-    let body = body.map_err(|error| Partial::Failed(error.to_string()))?;
+    let body = body.map_err(|error| BodyError::Failed(error.to_string()))?;
     let complete = match length {
         Some(length) => body.len() == length,
         None => !json || serde_json::from_slice::<IgnoredAny>(&body).is_ok(),
     };
-    if complete { Ok(body) } else { Err(Partial::Ended) }
+    if complete { Ok(body) } else { Err(BodyError::Ended) }
 }
 
-/// Longest wait for the end of a stream whose last message came.
-const END: Span = Span::from_secs(1);
+/// Time for a stream to end after its last message.
+const END_TIMEOUT: Span = Span::from_secs(1);
 
-/// Reads a stream to its end and drops what comes. A connection goes back to
-/// its pool only after the end of its body; without this, each request would
-/// open new connections on both hops.
-pub(crate) async fn exhaust<S: Stream + Unpin>(mut stream: S) {
+/// Reads a stream to its end and discards it. A connection returns to its pool
+/// only after the end of its body; without this, each request would open new
+/// connections on both hops.
+pub(crate) async fn drain<S: Stream + Unpin>(mut stream: S) {
     let end = async { while stream.next().await.is_some() {} };
-    let _ = tokio::time::timeout(END.into(), end).await;
+    let _ = tokio::time::timeout(END_TIMEOUT.into(), end).await;
 }
 
-/// Reads a whole body.
+/// Reads the body of a request of at most `limit` bytes.
 ///
-/// A body that stalls would hold its connection and memory for ever; the time
-/// limit covers the whole body, so a byte now and then does not extend it.
-pub(crate) async fn read(payload: Payload, limit: usize, time: Span) -> Result<Bytes, Failure> {
-    match tokio::time::timeout(time.into(), collect(payload, limit)).await {
+/// A stalled body would keep its connection and memory for ever. `timeout`
+/// covers the whole body, so a slow trickle of bytes does not extend it.
+pub(crate) async fn read(payload: Payload, limit: usize, timeout: Span) -> Result<Bytes, Failure> {
+    match tokio::time::timeout(timeout.into(), collect(payload, limit)).await {
         Ok(result) => result,
         Err(_) => Err(Failure::not_run(Code::BodyTimeout, "the body did not arrive in time")),
     }
--- a/kingcupbayd/src/http/client.rs
+++ b/kingcupbayd/src/http/client.rs
@@ -1,4 +1,4 @@
-//! Clients towards daemons, engines, services and the platform.
+//! HTTP clients for daemons, engines, services and the platform.
 
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc};
 
@@ -8,42 +8,43 @@
 };
 use kingcupbay_core::time::Span;
 
-/// Idle connections are dropped after this; shorter than the common idle
-/// limit of address translators that forget a connection without a word.
-const IDLE: std::time::Duration = std::time::Duration::from_secs(15);
+/// Idle timeout of a pooled connection. It is shorter than the usual idle limit
+/// of address translators, which drop a connection without closing it.
+const IDLE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(15);
 
-/// A client for each address, each with its own pool of connections.
+/// HTTP clients by address, each with its own pool of connections.
 ///
-/// One pool for each address, because a connection that went silent seldom
-/// stands alone: whatever lost track of it lost its neighbours too. Dropping
-/// the address's client drops them all, and new work opens new connections.
+/// When a connection to an address goes silent, the others to that address are
+/// usually dead as well, as the same cause affects all of them. With one pool
+/// per address, dropping the client drops all of them, and later requests open
+/// new connections.
 #[derive(Clone)]
 pub(crate) struct Clients {
-    connect: Span,
+    connect_timeout: Span,
     pools: Rc<RefCell<BTreeMap<String, Client>>>,
 }
 
 impl Clients {
-    /// Clients that give up connecting after `connect`.
-    pub(crate) fn new(connect: Span) -> Clients {
-        Clients { connect, pools: Rc::default() }
+    /// Creates clients that give up connecting after `connect_timeout`.
+    pub(crate) fn new(connect_timeout: Span) -> Clients {
+        Clients { connect_timeout, pools: Rc::default() }
     }
 
-    /// The client for `address`.
+    /// Returns the client for `address`.
     pub(crate) fn get(&self, address: &str) -> Client {
         let mut pools = self.pools.borrow_mut();
         if let Some(client) = pools.get(address) {
             return client.clone();
         }
-        let client = self.fresh();
+        let client = self.build();
         pools.insert(address.to_owned(), client.clone());
         client
     }
 
-    /// A client whose next request goes out on a connection that carried
-    /// nothing before.
+    /// Creates a client that shares no pool, so that its first request opens a
+    /// new connection.
     pub(crate) fn unpooled(&self) -> Client {
-        self.fresh()
+        self.build()
     }
 
     /// Drops every pooled connection to `address`; running streams keep theirs.
@@ -51,9 +52,11 @@
         self.pools.borrow_mut().remove(address);
     }
 
-    fn fresh(&self) -> Client {
-        let connector =
-            Connector::new().timeout(self.connect.into()).limit(0).conn_keep_alive(IDLE);
+    fn build(&self) -> Client {
+        let connector = Connector::new()
+            .timeout(self.connect_timeout.into())
+            .limit(0)
+            .conn_keep_alive(IDLE_TIMEOUT);
         Client::builder()
             .connector(connector)
             .no_default_headers()
@@ -63,11 +66,13 @@
     }
 }
 
-/// Whether no byte of the request left. The library reports a connection that
-/// closed instead of an answer as a failed connect too, long after the
-/// request was sent; taken for "never left", a call that ran would be called
-/// "not run", and be sent again.
-pub(crate) fn never_left(error: &SendRequestError) -> bool {
+/// Whether no byte of the request was sent.
+///
+/// The client library also reports a connection that closed instead of
+/// answering as a connect error (`Disconnected`), long after the request was
+/// sent. Counting that as unsent would report a call that ran as "not run" and
+/// send it again.
+pub(crate) fn is_unsent(error: &SendRequestError) -> bool {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => false,
         SendRequestError::Connect(_) | SendRequestError::Url(_) => true,
--- a/kingcupbayd/src/http/link.rs
+++ b/kingcupbayd/src/http/link.rs
@@ -1,10 +1,10 @@
 //! One connection to an upstream, another daemon or the store.
 //!
-//! The bytes are parsed by the library's codec, but the connection is ours:
-//! what it carries is passed on to callers only when it provably belongs to
-//! their request and is whole, and a library's client hides both (it takes the
-//! end of a connection for the end of a body, and an answer too many for the
-//! next one).
+//! The library's codec parses the bytes, but its client is not used: an answer
+//! may be passed on to a caller only when it provably belongs to the caller's
+//! request and is complete. The client hides both, as it takes the end of a
+//! connection for the end of a body, and a surplus answer for the answer to the
+//! next request.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -21,56 +21,56 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Time to connect. Within a region a connection takes some milliseconds; the
-/// kernel's first repetition of a lost opening comes after a second.
-const CONNECT: Duration = Duration::from_millis(600);
+/// Time to connect. Within a region a connection takes a few milliseconds; the
+/// kernel retransmits a lost SYN only after a second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Bytes that nobody acknowledges end the connection after this.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_000);
+/// Time after which unacknowledged bytes end the connection.
+const ACK_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Silence after which the kernel asks whether the other side is there, and
-/// the pause between such probes. A connection that something in between lost
-/// track of is found after the second probe without an answer.
-const PROBE: Duration = Duration::from_secs(1);
+/// Silence before the kernel's first keep-alive probe, and the pause between
+/// probes.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes without an answer that end a connection.
-const PROBES: u32 = 2;
+/// Unanswered probes that end a connection. The second one detects a connection
+/// that a device on the path no longer tracks.
+const MAX_PROBES: u32 = 2;
 
-/// Bytes read at a time: an engine's events are far smaller.
-const READ: usize = 8 << 10;
+/// Bytes read at a time. An engine's events are far smaller.
+const READ_BUFFER_BYTES: usize = 8 << 10;
 
-/// Longest head of an answer.
-const HEAD_MAX: usize = 64 << 10;
+/// Longest head of an answer, in bytes.
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// Why an exchange has no whole answer.
+/// Why an exchange has no complete answer.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum LinkError {
-    /// No connection came about, so the request provably never left.
+    /// No connection was made, so the request was certainly not sent.
     #[error("no connection: {0}")]
     Unsent(io::Error),
-    /// The connection failed after bytes of the request may have left.
+    /// The connection failed after bytes of the request may have been sent.
     #[error("the connection failed: {0}")]
     Lost(io::Error),
     /// The connection ended before the answer did.
     #[error("the answer ended early")]
     Early,
-    /// The bytes are no answer.
+    /// The bytes are not a valid HTTP answer.
     #[error("the answer is malformed: {0}")]
     Malformed(String),
-    /// Nothing came in time.
+    /// No complete answer arrived in time.
     #[error("no answer in time")]
     Silent,
 }
 
 impl LinkError {
-    /// Whether the request provably never left.
+    /// Whether the request was certainly not sent.
     pub fn is_unsent(&self) -> bool {
         matches!(self, LinkError::Unsent(_))
     }
 }
 
-/// What the parser is at.
+/// State of the parser.
 enum Parser {
     Head(ClientCodec),
     Body(ClientPayloadCodec),
@@ -78,47 +78,47 @@
     UntilEnd(ClientCodec),
 }
 
-/// A connection.
+/// An HTTP/1.1 client connection that carries one request at a time.
 pub struct Link {
     stream: TcpStream,
     input: BytesMut,
-    /// Always there between two calls.
+    /// Taken only during a call; always set between two calls.
     parser: Option<Parser>,
-    /// No part of the request is left to be written.
-    written: bool,
+    /// The request has been written completely.
+    request_written: bool,
     /// The last answer allows another request.
     reusable: bool,
     /// A request was sent whose answer has not been read to its end.
     unfinished: bool,
-    /// Used before.
+    /// The connection has carried a request.
     pub(crate) used: bool,
-    /// Until when an idle connection is taken to be open.
-    pub(crate) fresh_until: Instant,
+    /// Until when the idle connection may be used again.
+    pub(crate) idle_until: Instant,
 }
 
 impl Link {
-    /// Opens a connection.
+    /// Opens a connection to `address`. Fails with [`LinkError::Unsent`].
     pub async fn open(address: SocketAddr) -> Result<Link, LinkError> {
         let connecting = TcpStream::connect(address);
-        let stream = match tokio::time::timeout(CONNECT, connecting).await {
+        let stream = match tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
             Ok(stream) => stream.map_err(LinkError::Unsent)?,
             Err(_) => return Err(LinkError::Unsent(io::ErrorKind::TimedOut.into())),
         };
-        watch(&stream).map_err(LinkError::Unsent)?;
+        configure_socket(&stream).map_err(LinkError::Unsent)?;
         Ok(Link {
             stream,
-            input: BytesMut::with_capacity(READ),
+            input: BytesMut::with_capacity(READ_BUFFER_BYTES),
             parser: Some(Parser::Head(ClientCodec::default())),
-            written: true,
+            request_written: true,
             reusable: false,
             unfinished: false,
             used: false,
-            fresh_until: Instant::default(),
+            idle_until: Instant::default(),
         })
     }
 
-    /// Whether a pooled connection is still open and silent. Bytes that came
-    /// meanwhile belong to no request.
+    /// Whether an idle connection is still open and has received no bytes, which
+    /// would belong to no request.
     pub fn is_clean(&self) -> bool {
         let mut byte = [0; 1];
         let open = self.stream.try_read(&mut byte);
@@ -126,8 +126,11 @@
             && matches!(open, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and reads the head of the answer. Upstreams may answer
-    /// before they have read a long body, so both go on at the same time.
+    /// Sends a request and reads the head of the answer, both at the same time:
+    /// an upstream may answer before it has read a long body.
+    ///
+    /// Fails if the path is invalid, or if the connection ends or fails before
+    /// the head is complete.
     pub async fn exchange(
         &mut self,
         method: Method,
@@ -136,7 +139,7 @@
         body: &[u8],
     ) -> Result<ResponseHead, LinkError> {
         let output = self.encode(method, path, headers, body)?;
-        self.written = false;
+        self.request_written = false;
         self.reusable = false;
         self.unfinished = true;
         let (mut reader, mut writer) = self.stream.split();
@@ -148,12 +151,13 @@
             if let Some(head) = decode_head(&mut codec, &mut self.input)? {
                 break head;
             }
-            self.input.reserve(READ);
+            self.input.reserve(READ_BUFFER_BYTES);
             tokio::select! {
                 biased;
-                wrote = &mut writing, if !self.written => {
-                    // An answer may be there although the rest was refused.
-                    self.written = true;
+                wrote = &mut writing, if !self.request_written => {
+                    // The answer may have arrived although the rest of the
+                    // request could not be written.
+                    self.request_written = true;
                     if wrote.is_err() {
                         self.reusable = false;
                     }
@@ -166,12 +170,13 @@
             }
         };
         self.used = true;
-        self.reusable = self.written && codec.keep_alive() && head.keep_alive();
+        self.reusable = self.request_written && codec.keep_alive() && head.keep_alive();
         self.parser = Some(body_parser(codec, &head));
         Ok(head)
     }
 
-    /// The next part of the body; `None` after its proper end.
+    /// Reads the next part of the body; `None` after its proper end. Fails if
+    /// the connection ends or fails before that.
     pub async fn chunk(&mut self) -> Result<Option<Bytes>, LinkError> {
         loop {
             match self.parser.as_mut().expect("there between two calls") {
@@ -194,7 +199,7 @@
                     Err(error) => return Err(LinkError::Malformed(error.to_string())),
                 },
             }
-            self.input.reserve(READ);
+            self.input.reserve(READ_BUFFER_BYTES);
             match self.stream.read_buf(&mut self.input).await {
                 Ok(0) => return self.on_end(),
                 Ok(_) => {}
@@ -203,7 +208,7 @@
         }
     }
 
-    /// Skips the rest of an answer and reads the head of the one behind it.
+    /// Skips the rest of an answer and reads the head of the answer after it.
     pub(crate) async fn next_head(&mut self) -> Result<ResponseHead, LinkError> {
         while self.chunk().await?.is_some() {}
         let Some(Parser::Head(mut codec)) = self.parser.take() else {
@@ -213,21 +218,21 @@
             if let Some(head) = decode_head(&mut codec, &mut self.input)? {
                 break head;
             }
-            self.input.reserve(READ);
+            self.input.reserve(READ_BUFFER_BYTES);
             match self.stream.read_buf(&mut self.input).await {
                 Ok(0) => return Err(LinkError::Early),
                 Ok(_) => {}
                 Err(error) => return Err(LinkError::Lost(error)),
             }
         };
-        // What sent one answer too many may send another.
+        // An upstream that sent one surplus answer may send another.
         self.reusable = false;
         self.parser = Some(body_parser(codec, &head));
         Ok(head)
     }
 
-    /// Whether the connection can carry another request: its answer is whole,
-    /// and nothing follows it.
+    /// Whether the connection can carry another request: its answer has been
+    /// read completely, and nothing follows it.
     pub fn is_reusable(&self) -> bool {
         let done = matches!(self.parser, Some(Parser::Head(_)));
         done && self.reusable && self.input.is_empty()
@@ -282,19 +287,20 @@
 }
 
 impl Drop for Link {
-    /// A request that is given up must not arrive any more. While the way to an
-    /// upstream is cut, the kernel keeps what was written and would deliver it
-    /// when the way is back, seconds after the caller left; the upstream would
-    /// work for nobody. A reset drops those bytes at once.
+    /// Resets the connection if its request was given up. While the network to
+    /// an upstream is down, the kernel keeps the written bytes and would deliver
+    /// them once it is up again, seconds after the caller left, and the upstream
+    /// would run the request for nobody. A reset discards those bytes at once.
     fn drop(&mut self) {
         if self.unfinished {
-            // Where this fails the connection is closed in the usual way.
+            // If this fails, the connection is closed normally.
             let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         }
     }
 }
 
-/// Reads heads until one is not informational.
+/// Decodes the next head that is not informational; `None` if more bytes are
+/// needed.
 fn decode_head(
     codec: &mut ClientCodec,
     input: &mut BytesMut,
@@ -304,7 +310,7 @@
         match head {
             Some(head) if head.status.is_informational() => {}
             Some(head) => return Ok(Some(head)),
-            None if input.len() > HEAD_MAX => {
+            None if input.len() > MAX_HEAD_BYTES => {
                 return Err(LinkError::Malformed("the head is too long".to_owned()));
             }
             None => return Ok(None),
@@ -312,8 +318,9 @@
     }
 }
 
-/// The library reads no body where the head names no length. An upstream may
-/// end one with the connection, though.
+/// Returns the parser for the body that follows `head`. Without a length the
+/// library expects no body, but an upstream may mark the end of a body by
+/// closing the connection.
 fn body_parser(codec: ClientCodec, head: &ResponseHead) -> Parser {
     let framed = head.headers.contains_key(header::CONTENT_LENGTH)
         || head.headers.contains_key(header::TRANSFER_ENCODING);
@@ -325,12 +332,14 @@
     }
 }
 
-/// Makes the kernel find out by itself that the other side is gone.
-fn watch(stream: &TcpStream) -> io::Result<()> {
+/// Configures the socket so that the kernel detects a dead peer.
+fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
-    let probes =
-        socket2::TcpKeepalive::new().with_time(PROBE).with_interval(PROBE).with_retries(PROBES);
+    let probes = socket2::TcpKeepalive::new()
+        .with_time(PROBE_INTERVAL)
+        .with_interval(PROBE_INTERVAL)
+        .with_retries(MAX_PROBES);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(ACK_TIMEOUT))
 }
--- a/kingcupbayd/src/http/mod.rs
+++ b/kingcupbayd/src/http/mod.rs
@@ -1,7 +1,8 @@
-//! HTTP as every part of the daemon speaks it.
+//! HTTP, shared by all parts of the daemon.
 //!
-//! [`body`] reads bodies within bounds, [`reply`] makes answers, [`client`]
-//! calls other processes.
+//! [`body`] reads bodies within limits and [`reply`] builds answers. [`client`]
+//! calls other processes through the library's client; [`link`] and [`pool`]
+//! call them over connections of their own.
 
 pub(crate) mod body;
 pub(crate) mod client;
--- a/kingcupbayd/src/http/pool.rs
+++ b/kingcupbayd/src/http/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections by address, and whole exchanges over them.
+//! Pool of idle connections by address, and complete exchanges over them.
 
 use std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, rc::Rc};
 
@@ -13,25 +13,26 @@
 
 use super::link::{Link, LinkError};
 
-/// How long a connection is kept whose other side named no time. Short of the
+/// Idle timeout of a connection whose server announced none. Shorter than the
 /// few seconds after which servers usually close.
-const IDLE: Span = Span::from_secs(4);
+const DEFAULT_IDLE_TIMEOUT: Span = Span::from_secs(4);
 
-/// Part of the named time that is used, in percent: a request that meets the
-/// closing of its connection may have run, and is lost if it runs only once.
-const IDLE_PART: u64 = 60;
+/// Percentage of an announced idle timeout that is used. A request that is sent
+/// while the server closes its connection may have run, and fails if it must
+/// not run twice.
+const IDLE_PERCENT: u64 = 60;
 
 /// Idle connections kept for one address.
-const KEPT: usize = 24;
+const MAX_IDLE_PER_ADDRESS: usize = 24;
 
-/// Longest answer that is read whole.
-const ANSWER_MAX: usize = 64 << 20;
+/// Longest body of an answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// A whole answer.
+/// A complete answer.
 pub(crate) struct Answer {
-    /// Its status.
+    /// HTTP status.
     pub(crate) status: u16,
-    /// Its body.
+    /// Complete body.
     pub(crate) body: Bytes,
 }
 
@@ -42,60 +43,62 @@
 }
 
 impl Pool {
-    /// An idle connection to `address`, or a new one.
+    /// Returns an idle connection to `address`, or opens one.
     pub(crate) async fn get(&self, address: SocketAddr) -> Result<Link, LinkError> {
-        match self.idle_to(address) {
+        match self.take_idle(address) {
             Some(link) => Ok(link),
             None => Link::open(address).await,
         }
     }
 
-    /// An idle connection to `address` that looks open.
-    fn idle_to(&self, address: SocketAddr) -> Option<Link> {
+    /// Takes an idle connection to `address` that appears to be open.
+    fn take_idle(&self, address: SocketAddr) -> Option<Link> {
         let now = clock::now();
         let mut idle = self.idle.borrow_mut();
         let links = idle.get_mut(&address)?;
         while let Some(link) = links.pop() {
-            if link.fresh_until > now && link.is_clean() {
+            if link.idle_until > now && link.is_clean() {
                 return Some(link);
             }
         }
         None
     }
 
-    /// Keeps a connection for later; `named` is how long the other side said
-    /// that it keeps it.
-    pub(crate) fn put(&self, address: SocketAddr, mut link: Link, named: Option<Span>) {
+    /// Keeps a reusable connection for later; `announced` is the idle timeout
+    /// that the server named.
+    pub(crate) fn put(&self, address: SocketAddr, mut link: Link, announced: Option<Span>) {
         if !link.is_reusable() {
             return;
         }
-        let keep =
-            named.map_or(IDLE, |named| Span::from_micros(named.as_micros() * IDLE_PART / 100));
-        link.fresh_until = clock::now() + keep;
+        let keep = announced.map_or(DEFAULT_IDLE_TIMEOUT, |announced| {
+            Span::from_micros(announced.as_micros() * IDLE_PERCENT / 100)
+        });
+        link.idle_until = clock::now() + keep;
         let mut idle = self.idle.borrow_mut();
         let links = idle.entry(address).or_default();
-        if links.len() < KEPT {
+        if links.len() < MAX_IDLE_PER_ADDRESS {
             links.push(link);
         }
     }
 
-    /// Drops all idle connections to `address`. Whatever lost track of one
-    /// has lost track of its neighbours too.
+    /// Drops all idle connections to `address`: the cause that made one of them
+    /// fail usually affects the others too.
     pub(crate) fn forget(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// One request and its whole answer within `time`.
+    /// Sends a request and reads its complete answer within `timeout`. After a
+    /// failure the idle connections to `address` are dropped.
     pub(crate) async fn call(
         &self,
         address: SocketAddr,
         method: Method,
         path: &str,
         body: &[u8],
-        time: Span,
+        timeout: Span,
     ) -> Result<Answer, LinkError> {
         let exchange = self.exchange(address, method, path, body);
-        let answer = match tokio::time::timeout(time.into(), exchange).await {
+        let answer = match tokio::time::timeout(timeout.into(), exchange).await {
             Ok(answer) => answer,
             Err(_) => Err(LinkError::Silent),
         };
@@ -123,7 +126,7 @@
         let head = link.exchange(method, path, headers, body).await?;
         let mut whole = BytesMut::new();
         while let Some(chunk) = link.chunk().await? {
-            if whole.len() + chunk.len() > ANSWER_MAX {
+            if whole.len() + chunk.len() > MAX_ANSWER_BYTES {
                 return Err(LinkError::Malformed("the answer is too long".to_owned()));
             }
             whole.extend_from_slice(&chunk);
--- a/kingcupbayd/src/http/reply.rs
+++ b/kingcupbayd/src/http/reply.rs
@@ -1,4 +1,4 @@
-//! Answers.
+//! Builders of HTTP answers.
 
 use actix_http::{
     Response, ResponseBuilder, StatusCode,
@@ -10,7 +10,8 @@
 use kingcupbay_core::wire::error::{Failure, Ran};
 use serde::Serialize;
 
-/// The error shape callers of model servers know, with two fields more.
+/// The error body that callers of model servers know, with the further fields
+/// `code` and `ran`.
 #[derive(Serialize)]
 struct ErrorBody<'a> {
     error: ErrorDetail<'a>,
@@ -25,7 +26,7 @@
     ran: Ran,
 }
 
-/// The JSON text of a failure.
+/// Returns the JSON text of a failure.
 pub(crate) fn failure_json(failure: &Failure) -> String {
     let kind = match failure.code.status() {
         400..=499 => "invalid_request_error",
@@ -36,7 +37,8 @@
     serde_json::to_string(&body).expect("a failure has only strings")
 }
 
-/// The answer to a request that failed before its first byte.
+/// Builds the answer to a request that failed before the first byte of its
+/// answer was sent.
 pub(crate) fn failure(failure: &Failure) -> Response<BoxBody> {
     let status = StatusCode::from_u16(failure.code.status()).expect("codes have valid statuses");
     let mut builder = ResponseBuilder::new(status);
@@ -47,12 +49,12 @@
     builder.body(failure_json(failure)).map_into_boxed_body()
 }
 
-/// A JSON answer.
+/// Builds a JSON answer.
 pub(crate) fn json<T: Serialize>(status: StatusCode, body: &T) -> Response<BoxBody> {
     json_text(status, serde_json::to_string(body).expect("answers serialise"))
 }
 
-/// Text that is JSON already.
+/// Builds an answer of text that is already JSON.
 pub(crate) fn json_text(status: StatusCode, text: String) -> Response<BoxBody> {
     ResponseBuilder::new(status)
         .insert_header((header::CONTENT_TYPE, "application/json"))
@@ -60,7 +62,7 @@
         .map_into_boxed_body()
 }
 
-/// A plain text answer.
+/// Builds a plain text answer.
 pub(crate) fn text(status: StatusCode, body: impl Into<String>) -> Response<BoxBody> {
     ResponseBuilder::new(status)
         .insert_header((header::CONTENT_TYPE, "text/plain; charset=utf-8"))
@@ -68,7 +70,7 @@
         .map_into_boxed_body()
 }
 
-/// An answer whose bytes come as `stream` yields them.
+/// Builds an answer of status 200 that streams its body.
 pub(crate) fn stream<S>(kind: &'static str, stream: S) -> Response<BoxBody>
 where
     S: Stream<Item = Result<Bytes, std::io::Error>> + 'static,
@@ -80,7 +82,7 @@
         .map_into_boxed_body()
 }
 
-/// An answer of bytes.
+/// Builds an answer of status 200 with a body of bytes.
 pub(crate) fn bytes(kind: &'static str, bytes: Bytes) -> Response<BoxBody> {
     ResponseBuilder::new(StatusCode::OK)
         .insert_header((header::CONTENT_TYPE, kind))
--- a/kingcupbayd/src/main.rs
+++ b/kingcupbayd/src/main.rs
@@ -3,7 +3,7 @@
 use std::{path::PathBuf, process::ExitCode};
 
 use clap::Parser;
-use kingcupbayd::config::{Backing, Settings};
+use kingcupbayd::config::{ConfigSource, Settings};
 use slog::error;
 
 mod signal;
@@ -49,7 +49,7 @@
 }
 
 async fn run(settings: Settings, log: slog::Logger) -> std::io::Result<()> {
-    if let Backing::Registry(registry) = settings.backing.clone() {
+    if let ConfigSource::Registry(registry) = settings.config_source.clone() {
         let stop = signal::stop(&log)?;
         return kingcupbayd::run_registered(settings, registry, log.clone(), stop).await;
     }
--- a/kingcupbayd/src/metrics.rs
+++ b/kingcupbayd/src/metrics.rs
@@ -6,12 +6,12 @@
 };
 
 /// Bounds of latencies in seconds: from relaying to a cold start in a queue.
-pub(crate) const LATENCY: &[f64] =
+pub(crate) const LATENCY_BUCKETS: &[f64] =
     &[0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0];
 
 /// Bounds of gaps between tokens or events in seconds, close around the aim of
 /// 43 ms.
-pub(crate) const GAP: &[f64] =
+pub(crate) const EVENT_GAP_BUCKETS: &[f64] =
     &[0.005, 0.01, 0.015, 0.02, 0.025, 0.03, 0.035, 0.043, 0.06, 0.1, 0.25, 0.5, 1.0, 5.0];
 
 /// Every metric of a daemon; those of the other role stay at zero.
@@ -67,7 +67,7 @@
             "kingcupbay_first_token_seconds",
             "Time to first token",
             &["organisation"],
-            LATENCY,
+            LATENCY_BUCKETS,
         );
         Metrics {
             requests: counters(
@@ -82,7 +82,11 @@
             ),
             retries: counters("kingcupbay_retries_total", "Attempts beyond the first", &["reason"]),
             first_token,
-            gap: histogram("kingcupbay_token_gap_seconds", "Time between tokens", GAP),
+            gap: histogram(
+                "kingcupbay_token_gap_seconds",
+                "Time between tokens",
+                EVENT_GAP_BUCKETS,
+            ),
             tokens: counter("kingcupbay_tokens_total", "Tokens relayed"),
             load_stalls: counter(
                 "kingcupbay_load_stalls_total",
@@ -91,7 +95,7 @@
             stall_wait: histogram(
                 "kingcupbay_stall_wait_seconds",
                 "Wait of stalled requests",
-                LATENCY,
+                LATENCY_BUCKETS,
             ),
             loads: counters("kingcupbay_loads_total", "Adapter loads by outcome", &["outcome"]),
             running: gauges("kingcupbay_upstream_running", "Requests that run"),
--- a/kingcupbayd/src/registered/start.rs
+++ b/kingcupbayd/src/registered/start.rs
@@ -127,14 +127,14 @@
 /// Stops as planned: readiness fails first, running requests finish.
 async fn finish(node: &Rc<Node>) {
     let log = &node.log;
-    info!(log, ""; "event" => "stopping", "connections" => node.drain.open());
+    info!(log, ""; "event" => "stopping", "connections" => node.drain.open_connections());
     node.drain.advance(Phase::Leaving);
     if node.settings.daemon.role == Role::Entry {
         tokio::time::sleep(LEAVING.into()).await;
         node.drain.advance(Phase::Closing);
         let limit = node.registry.grace.saturating_sub(LEAVING).saturating_sub(MARGIN);
-        let whole = tokio::time::timeout(limit.into(), node.drain.idle()).await.is_ok();
-        let cut = node.drain.open();
+        let whole = tokio::time::timeout(limit.into(), node.drain.wait_until_idle()).await.is_ok();
+        let cut = node.drain.open_connections();
         info!(log, ""; "event" => "stopped", "whole" => whole, "cut" => cut);
     } else {
         info!(log, ""; "event" => "stopped");
--- a/kingcupbayd/src/server/drain.rs
+++ b/kingcupbayd/src/server/drain.rs
@@ -1,54 +1,54 @@
-//! A planned stop: what still runs, and from when on nothing new begins.
+//! Planned stop: the daemon's phase and the count of its open connections.
 
 use std::rc::Rc;
 
 use tokio::sync::watch;
 
-/// Phases of a daemon's life, in order.
+/// Phases of a daemon's lifetime, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// It serves.
+    /// Requests are served.
     Serving,
-    /// Readiness fails, so that the balancer looks elsewhere; requests that
-    /// still come are served.
+    /// Readiness fails, so that the balancer sends requests elsewhere; those
+    /// that still arrive are served.
     Leaving,
-    /// Nothing new begins; what runs finishes.
+    /// No new connection or request is accepted; running requests finish.
     Closing,
 }
 
-/// Shared by all servers of the daemon.
+/// Drain state, shared by all servers of the daemon.
 #[derive(Clone)]
 pub(crate) struct Drain {
     phase: Rc<watch::Sender<Phase>>,
-    open: Rc<watch::Sender<usize>>,
+    connections: Rc<watch::Sender<usize>>,
 }
 
-/// An open connection; its drop tells that it has ended.
+/// An open connection, counted until it is dropped.
 pub(crate) struct Connection {
-    open: Rc<watch::Sender<usize>>,
+    connections: Rc<watch::Sender<usize>>,
 }
 
 impl Drain {
-    /// A daemon that serves.
+    /// Creates the state of a daemon that serves.
     pub(crate) fn new() -> Drain {
         Drain {
             phase: Rc::new(watch::Sender::new(Phase::Serving)),
-            open: Rc::new(watch::Sender::new(0)),
+            connections: Rc::new(watch::Sender::new(0)),
         }
     }
 
-    /// The present phase.
+    /// Returns the current phase.
     pub(crate) fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// How many connections are open.
-    pub(crate) fn open(&self) -> usize {
-        *self.open.borrow()
+    /// Returns the number of open connections.
+    pub(crate) fn open_connections(&self) -> usize {
+        *self.connections.borrow()
     }
 
-    /// Goes on to `phase`; phases never go back, so a second signal is
-    /// harmless.
+    /// Advances to `phase`. The phase never goes back, so a second signal has no
+    /// effect.
     pub(crate) fn advance(&self, phase: Phase) {
         self.phase.send_if_modified(|current| {
             let ahead = phase > *current;
@@ -57,28 +57,28 @@
         });
     }
 
-    /// Ends when nothing new may begin.
-    pub(crate) async fn closed(self) {
+    /// Waits for [`Phase::Closing`].
+    pub(crate) async fn wait_until_closing(self) {
         let mut phase = self.phase.subscribe();
         // The sender lives as long as `self`, so waiting cannot fail.
         let _ = phase.wait_for(|&phase| phase == Phase::Closing).await;
     }
 
-    /// Ends when no connection is open.
-    pub(crate) async fn idle(&self) {
-        let mut open = self.open.subscribe();
-        let _ = open.wait_for(|&open| open == 0).await;
+    /// Waits until no connection is open.
+    pub(crate) async fn wait_until_idle(&self) {
+        let mut count = self.connections.subscribe();
+        let _ = count.wait_for(|&count| count == 0).await;
     }
 
-    /// Counts a connection in.
-    pub(crate) fn connection(&self) -> Connection {
-        self.open.send_modify(|open| *open += 1);
-        Connection { open: self.open.clone() }
+    /// Counts a connection as open until the returned value is dropped.
+    pub(crate) fn track_connection(&self) -> Connection {
+        self.connections.send_modify(|count| *count += 1);
+        Connection { connections: self.connections.clone() }
     }
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.open.send_modify(|open| *open -= 1);
+        self.connections.send_modify(|count| *count -= 1);
     }
 }
--- a/kingcupbayd/src/server/mod.rs
+++ b/kingcupbayd/src/server/mod.rs
@@ -1,7 +1,7 @@
-//! HTTP servers on the daemon's one thread.
+//! HTTP servers on the daemon's single thread.
 //!
-//! [`drain`] counts connections and says when the daemon stops. The accept
-//! loop hands each connection to a task of its own; a planned stop closes the
+//! The accept loop spawns a task for each connection. [`drain`] counts the
+//! connections and holds the phase of a planned stop, which closes the
 //! listener, lets every connection finish its request, and closes idle ones.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
@@ -16,28 +16,30 @@
 use drain::Drain;
 
 /// Connections that may wait to be accepted. With the usual 128, a burst of
-/// new streams finds the queue full, and the kernel's first repetition comes
-/// a second later: callers see that second, daemons their connect timeout.
+/// new streams fills the queue, and the kernel retransmits the SYN only after a
+/// second: callers wait that second, and daemons run into their connect timeout.
 const BACKLOG: u32 = 4_096;
 
-/// How long an idle connection is kept; longer than the daemons' clients keep
-/// theirs, so that it is the client that closes and no request is sent on a
-/// connection that this side is closing.
+/// Idle timeout of a connection. It exceeds that of the daemons' clients, so
+/// that the client closes first and sends no request on a connection that the
+/// server is closing.
 const KEEP_ALIVE: Duration = Duration::from_secs(30);
 
-/// How long the other side may take to close after the last byte.
+/// Time for the other side to close the connection after the last byte.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after a failed accept: out of descriptors, it would spin otherwise.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Pause after a failed accept. Without it, the loop would spin while the
+/// process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Binds `address`. Port 0 lets the kernel choose.
+/// Binds `address` and returns the listener with its bound address. Port 0 lets
+/// the kernel choose. Fails if the address cannot be bound.
 pub(crate) fn bind(address: SocketAddr) -> std::io::Result<(TcpListener, SocketAddr)> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
-    // A host that restarts takes its address back at once.
+    // A restarted daemon can bind its address at once.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     let listener = socket.listen(BACKLOG)?;
@@ -45,10 +47,15 @@
     Ok((listener, bound))
 }
 
-/// Serves `listener` with `handle` until `drain` closes; returns when every
-/// connection has ended.
-pub(crate) async fn serve<F, Fut>(listener: TcpListener, head: Span, drain: Drain, handle: F)
-where
+/// Serves requests on `listener` with `handle` until `drain` is closing, and
+/// returns when every connection has ended. `head_timeout` is the time for the
+/// head of a request.
+pub(crate) async fn serve<F, Fut>(
+    listener: TcpListener,
+    head_timeout: Span,
+    drain: Drain,
+    handle: F,
+) where
     F: Fn(Request) -> Fut + Clone + 'static,
     Fut: Future<Output = Response<BoxBody>> + 'static,
 {
@@ -59,11 +66,11 @@
     });
     let factory = HttpService::build()
         .keep_alive(KEEP_ALIVE)
-        .client_request_timeout(head.into())
+        .client_request_timeout(head_timeout.into())
         .client_disconnect_timeout(CLOSE_TIMEOUT)
         .h1_allow_half_closed(false)
         .tcp_nodelay(true)
-        .graceful_shutdown_signal(move || closing.clone().closed())
+        .graceful_shutdown_signal(move || closing.clone().wait_until_closing())
         .finish(handle.into_factory())
         .tcp();
     let Ok(service) = factory.new_service(()).await else {
@@ -73,22 +80,21 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = drain.clone().closed() => break,
+            () = drain.clone().wait_until_closing() => break,
         };
         match accepted {
             Ok((stream, _)) => {
-                let guard = drain.connection();
+                let guard = drain.track_connection();
                 let service = service.clone();
                 actix_rt::spawn(async move {
-                    // A broken connection concerns its request, which has
-                    // noticed by itself; there is nothing more to do here.
+                    // The request's own handler deals with a broken connection.
                     let _ = service.call(stream).await;
                     drop(guard);
                 });
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
     drop(listener);
-    drain.idle().await;
+    drain.wait_until_idle().await;
 }
--- a/kingcupbayd/src/sidecar/metrics.rs
+++ b/kingcupbayd/src/sidecar/metrics.rs
@@ -7,7 +7,7 @@
 };
 use prometheus::{HistogramVec, IntCounterVec, IntGaugeVec, Registry};
 
-use crate::metrics::{LATENCY, counters, gauges, histograms, text};
+use crate::metrics::{LATENCY_BUCKETS, counters, gauges, histograms, text};
 
 /// Every metric of a daemon beside an engine.
 pub(crate) struct Metrics {
@@ -36,7 +36,7 @@
                 "kingcupbay_place_wait_seconds",
                 "Time to a verdict on a place",
                 &["verdict"],
-                LATENCY,
+                LATENCY_BUCKETS,
             ),
             orders: counters(
                 &registry,
--- a/kingcupbayd/src/start.rs
+++ b/kingcupbayd/src/start.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     Addresses, Daemon, RoleState, admin,
-    config::{Backing, Platform, Settings},
+    config::{ConfigSource, Platform, Settings},
     entry::{self, Entry},
     fleet::{self, Fleet, PatchOutcome},
     handle_peer,
@@ -45,7 +45,7 @@
 /// Starts a daemon that keeps its configuration as patches in the table, on
 /// the present thread's runtime.
 pub fn start(settings: Settings, log: Logger) -> std::io::Result<Running> {
-    let Backing::Patches(platform) = settings.backing.clone() else {
+    let ConfigSource::Patches(platform) = settings.config_source.clone() else {
         let message = "these settings name a registry, not a table of patches";
         return Err(std::io::Error::new(std::io::ErrorKind::InvalidInput, message));
     };
@@ -170,7 +170,7 @@
     pub async fn stop(self) {
         let tuning = &self.daemon.settings.tuning;
         let log = &self.daemon.log;
-        info!(log, ""; "event" => "stopping", "connections" => self.daemon.drain.open());
+        info!(log, ""; "event" => "stopping", "connections" => self.daemon.drain.open_connections());
         self.daemon.drain.advance(Phase::Leaving);
         tokio::time::sleep(tuning.drain_delay.into()).await;
         self.daemon.drain.advance(Phase::Closing);
@@ -189,7 +189,7 @@
         if let RoleState::Entry(entry) = &self.daemon.role {
             share::hand_over(entry.shares().clone()).await;
         }
-        let cut = self.daemon.drain.open();
+        let cut = self.daemon.drain.open_connections();
         info!(log, ""; "event" => "stopped", "whole" => whole, "cut" => cut);
     }
 }
--- a/kingcupbayd/src/store/table.rs
+++ b/kingcupbayd/src/store/table.rs
@@ -9,7 +9,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 use thiserror::Error;
 
-use crate::http::client::{Clients, never_left};
+use crate::http::client::{Clients, is_unsent};
 
 /// Longest answer of the table that is read.
 const ANSWER_LIMIT: usize = 64 << 20;
@@ -77,7 +77,7 @@
     ) -> Result<R, TableError> {
         let url = format!("http://{}/{path}", self.address);
         let sent = self.clients.get(&self.address).post(url).send_json(body).await;
-        let mut response = sent.map_err(|error| match never_left(&error) {
+        let mut response = sent.map_err(|error| match is_unsent(&error) {
             true => TableError::Unreached(error.to_string()),
             false => TableError::Lost(error.to_string()),
         })?;
--- a/kingcupbayd/src/upstream/call.rs
+++ b/kingcupbayd/src/upstream/call.rs
@@ -13,7 +13,7 @@
 use super::{Upstream, once, run::check};
 use crate::{
     clock,
-    http::{body, client::never_left},
+    http::{body, client::is_unsent},
 };
 
 /// Longest answer of a service.
@@ -78,7 +78,7 @@
     let sent = request(&client, row, path, idempotency).send_body(body).await;
     let mut response = sent.map_err(|error| failed(&error))?;
     let status = response.status().as_u16();
-    let body = body::whole(&mut response, ANSWER_LIMIT).await.map_err(|error| Failure {
+    let body = body::read_whole(&mut response, ANSWER_LIMIT).await.map_err(|error| Failure {
         ran: Ran::Ran,
         ..Failure::not_run(Code::UpstreamFailed, error.to_string())
     })?;
@@ -101,6 +101,6 @@
 }
 
 fn failed(error: &awc::error::SendRequestError) -> Failure {
-    let ran = if never_left(error) { Ran::NotRun } else { Ran::Unknown };
+    let ran = if is_unsent(error) { Ran::NotRun } else { Ran::Unknown };
     Failure { ran, ..Failure::not_run(Code::UpstreamFailed, error.to_string()) }
 }
--- a/kingcupbayd/src/upstream/engine.rs
+++ b/kingcupbayd/src/upstream/engine.rs
@@ -19,7 +19,7 @@
 
 use crate::http::{
     body,
-    client::{Clients, never_left},
+    client::{Clients, is_unsent},
 };
 
 /// Longest line of an engine's event stream.
@@ -111,7 +111,7 @@
         // is dropped before it must be cancelled, and its connection closed.
         if self.complete {
             let lines = std::mem::replace(&mut self.lines, Box::pin(stream::empty()));
-            actix_rt::spawn(body::exhaust(lines));
+            actix_rt::spawn(body::drain(lines));
         }
     }
 }
@@ -184,7 +184,7 @@
 }
 
 fn send_error(error: awc::error::SendRequestError) -> EngineError {
-    match never_left(&error) {
+    match is_unsent(&error) {
         true => EngineError::Unreached(error.to_string()),
         false => EngineError::Broken(error.to_string()),
     }
--- a/kingcupbayd/src/upstream/mod.rs
+++ b/kingcupbayd/src/upstream/mod.rs
@@ -17,8 +17,8 @@
 use slog::Logger;
 
 use crate::{
-    active::Active, clock, config::Settings, fleet::Fleet, http::client::Clients, metrics::Metrics,
-    server::drain::Drain, store::table::Table,
+    active::ActiveRequests, clock, config::Settings, fleet::Fleet, http::client::Clients,
+    metrics::Metrics, server::drain::Drain, store::table::Table,
 };
 
 mod call;
@@ -37,7 +37,7 @@
     fleet: Rc<Fleet>,
     table: Table,
     clients: Clients,
-    active: Active,
+    active: ActiveRequests,
     metrics: Rc<Metrics>,
     drain: Drain,
     log: Logger,
--- a/kingcupbayd/src/upstream/once.rs
+++ b/kingcupbayd/src/upstream/once.rs
@@ -32,7 +32,7 @@
 use crate::{
     clock,
     entry::new_request,
-    http::{body, client::never_left},
+    http::{body, client::is_unsent},
     server::drain::Phase,
     store::table::TableError,
 };
@@ -113,7 +113,7 @@
 /// Takes one attempt to its end, and tells the caller on the way.
 async fn drive(once: Once, attempt: Attempt, caller: oneshot::Sender<Answer>) {
     // A planned stop waits for this, also when the entry has gone.
-    let running = once.upstream.drain.connection();
+    let running = once.upstream.drain.track_connection();
     let mut caller = Some(caller);
     let (mut claim, actions) = Claim::start(attempt);
     let mut actions = VecDeque::from(actions);
@@ -219,11 +219,11 @@
         let request = call::request(&client, row, &call.path, Some(&call.idempotency));
         let mut response = match request.send_body(call.body.clone()).await {
             Ok(response) => response,
-            Err(error) if never_left(&error) => return vec![Event::NotSent],
+            Err(error) if is_unsent(&error) => return vec![Event::NotSent],
             Err(_) => return vec![Event::ServiceLost],
         };
         let status = response.status().as_u16();
-        let answered = match body::whole(&mut response, call::ANSWER_LIMIT).await {
+        let answered = match body::read_whole(&mut response, call::ANSWER_LIMIT).await {
             Ok(body) => Event::ServiceAnswered(Outcome { status, body: Some(body.to_vec()) }),
             Err(_) => Event::ServiceLost,
         };
--- a/kingcupbayd/src/upstream/run.rs
+++ b/kingcupbayd/src/upstream/run.rs
@@ -25,7 +25,7 @@
     runner::Place,
 };
 use crate::{
-    active::Entered,
+    active::ActiveGuard,
     clock,
     http::{body, reply},
     server::drain::Phase,
@@ -109,7 +109,7 @@
     /// Whether the closing line is still to be written.
     open: bool,
     model: String,
-    entered: Entered,
+    entered: ActiveGuard,
 }
 
 impl Serving {
