--- a/kingcupbayd/src/admin/dump.rs
+++ b/kingcupbayd/src/admin/dump.rs
@@ -1,7 +1,8 @@
-//! State dumps: this daemon's own, and others' on an operator's behalf.
+//! State dumps of this daemon, and of others on an operator's behalf.
 //!
-//! Operators know hosts, not the addresses of their operators' ports, which
-//! no row holds; the daemon that is asked fetches the dump from its peer.
+//! Operators know the names of hosts. No row of the configuration holds the
+//! address of a host's operators' port, so the daemon that receives the request
+//! fetches the dump from its peer.
 
 use actix_http::{Request, Response, StatusCode, body::BoxBody};
 use kingcupbay_core::{
@@ -12,39 +13,39 @@
 use super::status;
 use crate::{Daemon, http::reply};
 
-/// Path of a daemon's dump on its peers' port.
+/// Path of the dump on a daemon's port for peers.
 pub(crate) const PEER_PATH: &str = "/dump";
 
-/// Longest dump: a line for each adapter of the resident sets.
-const DUMP_LIMIT: usize = 64 << 20;
+/// Longest dump, in bytes: it has a line for each resident adapter.
+const MAX_DUMP_BYTES: usize = 64 << 20;
 
-/// Longest wait for a peer's dump.
-const WAIT: std::time::Duration = std::time::Duration::from_secs(5);
+/// Time for a peer to send its dump.
+const PEER_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// Answers `GET /admin/dump`, with `?host=HOST` for another daemon's.
+/// Answers `GET /admin/dump`; `?host=HOST` asks for another daemon's dump.
 pub(super) async fn answer(daemon: &Daemon, request: &Request) -> Response<BoxBody> {
     let Some(host) = request.uri().query().and_then(|query| query.strip_prefix("host=")) else {
-        return reply::text(StatusCode::OK, own(daemon));
+        return reply::text(StatusCode::OK, own_dump(daemon));
     };
     let host = host.parse::<Name>().ok();
     if host.as_ref() == Some(&daemon.settings.daemon.host) {
-        return reply::text(StatusCode::OK, own(daemon));
+        return reply::text(StatusCode::OK, own_dump(daemon));
     }
     let config = daemon.fleet.config();
     let member = host.as_ref().and_then(|host| config.member(host));
     let Some(address) = member.map(|(_, member)| member.address.clone()) else {
         return reply::failure(&Failure::not_run(Code::NotFound, "no such member"));
     };
-    match tokio::time::timeout(WAIT, fetch(daemon, &address)).await {
+    match tokio::time::timeout(PEER_TIMEOUT, fetch(daemon, &address)).await {
         Ok(Ok(text)) => reply::text(StatusCode::OK, text),
         Ok(Err(message)) => reply::failure(&Failure::not_run(Code::UpstreamFailed, message)),
         Err(_) => reply::failure(&Failure::not_run(Code::Deadline, "the peer does not answer")),
     }
 }
 
-/// This daemon's state: one line for each thing, in a stable order, without
+/// Returns this daemon's state, one line per item, in a stable order and without
 /// secrets.
-pub(crate) fn own(daemon: &Daemon) -> String {
+pub(crate) fn own_dump(daemon: &Daemon) -> String {
     let status = status(daemon);
     let head = format!(
         "host={} zone={} role={:?} phase={} standing={} number={} members={} connections={}\n",
@@ -67,6 +68,6 @@
     if !response.status().is_success() {
         return Err(format!("the peer answers {}", response.status()));
     }
-    let body = response.body().limit(DUMP_LIMIT).await.map_err(|error| error.to_string())?;
+    let body = response.body().limit(MAX_DUMP_BYTES).await.map_err(|error| error.to_string())?;
     Ok(String::from_utf8_lossy(&body).into_owned())
 }
--- a/kingcupbayd/src/admin/mod.rs
+++ b/kingcupbayd/src/admin/mod.rs
@@ -28,13 +28,13 @@
     http::{body, reply},
 };
 
-/// Longest patch: declarations of 67,000 adapters have some 20 MB.
-const PATCH_LIMIT: usize = 64 << 20;
+/// Longest patch, in bytes. Declarations of 67,000 adapters have about 20 MB.
+const MAX_PATCH_BYTES: usize = 64 << 20;
 
-/// Time for a patch to arrive whole.
-const PATCH_TIME: Span = Span::from_secs(30);
+/// Time for a patch to arrive completely.
+const PATCH_TIMEOUT: Span = Span::from_secs(30);
 
-/// What `GET /admin/status` tells.
+/// The answer to `GET /admin/status`.
 #[derive(Serialize)]
 struct Status {
     host: String,
@@ -47,7 +47,7 @@
     connections: usize,
 }
 
-/// Answers one request of an operator or a probe.
+/// Answers a request of an operator or a probe.
 pub(crate) async fn handle(daemon: Rc<Daemon>, mut request: Request) -> Response<BoxBody> {
     let path = request.path().to_owned();
     let get = request.method() == Method::GET;
@@ -61,7 +61,7 @@
         DUMP_PATH if get => dump::answer(&daemon, &request).await,
         PATCH_PATH if request.method() == Method::POST => {
             let payload = request.take_payload();
-            match body::read(payload, PATCH_LIMIT, PATCH_TIME).await {
+            match body::read(payload, MAX_PATCH_BYTES, PATCH_TIMEOUT).await {
                 Ok(bytes) => patch(&daemon, &bytes).await,
                 Err(failure) => reply::failure(&failure),
             }
@@ -70,9 +70,10 @@
     }
 }
 
-/// The configuration in force, or the newest known when the table is away. A
-/// patch is made against this answer: one that lags behind what the operator
-/// did a moment ago through another daemon would make it stale.
+/// Answers with the configuration in force, or with the newest known one if the
+/// table is unreachable. A patch is made against this answer, so the table is
+/// read first: a configuration older than what the operator just applied through
+/// another daemon would make the patch stale.
 async fn config(daemon: &Daemon) -> Response<BoxBody> {
     let _ = daemon.fleet.refresh().await;
     reply::json(StatusCode::OK, &*daemon.fleet.config())
@@ -145,8 +146,8 @@
     }
 }
 
-/// The change by which this daemon joins the fleet.
-pub(crate) fn join(daemon: &Daemon, address: String) -> Change {
+/// Returns the change by which this daemon joins the fleet.
+pub(crate) fn join_change(daemon: &Daemon, address: String) -> Change {
     let settings = &daemon.settings.daemon;
     Change::Join {
         host: settings.host.clone(),
--- a/kingcupbayd/src/lib.rs
+++ b/kingcupbayd/src/lib.rs
@@ -103,7 +103,7 @@
             share::handle(entry.shares().clone(), request).await
         }
         (_, admin::dump::PEER_PATH) => {
-            http::reply::text(actix_http::StatusCode::OK, admin::dump::own(&daemon))
+            http::reply::text(actix_http::StatusCode::OK, admin::dump::own_dump(&daemon))
         }
         _ => http::reply::text(actix_http::StatusCode::NOT_FOUND, "no such path\n"),
     }
--- a/kingcupbayd/src/share/epoch.rs
+++ b/kingcupbayd/src/share/epoch.rs
@@ -1,4 +1,4 @@
-//! Reports of share epochs in the table.
+//! Writes and reads the reports of share epochs in the table.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,26 +15,26 @@
     store::table::TableError,
 };
 
-/// Pause between two looks for what is to be written or read.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause between two checks for reports to write or read.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Most reports in one answer, above the 340 entries of the largest fleet.
-const ROWS: usize = 1_024;
+/// Most reports in one answer, more than the 340 entries of the largest fleet.
+const MAX_REPORTS: usize = 1_024;
 
-/// Writes this entry's report and reads those that are missing; with nothing
-/// of that to do the table is left alone.
+/// Writes this entry's report and reads those that are missing, for as long as
+/// the daemon runs. Without either, the table is not called.
 pub(super) async fn keep(shares: Rc<Shares>) {
     loop {
-        shares.follow(clock::now());
-        if let Err(error) = shares.step().await {
+        shares.sync_config(clock::now());
+        if let Err(error) = shares.sync_reports().await {
             warn!(shares.log, ""; "event" => "share_reports_undone", "error" => %error);
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 impl Shares {
-    async fn step(self: &Rc<Shares>) -> Result<(), TableError> {
+    async fn sync_reports(self: &Rc<Shares>) -> Result<(), TableError> {
         let unwritten = self.unwritten.borrow().clone();
         if let Some(report) = unwritten {
             self.write(&report).await?;
@@ -45,9 +45,10 @@
         Ok(())
     }
 
-    /// Brings the report into its row. A write whose answer was lost is found
-    /// at the next look; one that is still on its way when the next epoch's
-    /// report is written fails by the row's revision.
+    /// Writes the report to its row, unless the row already holds it. A write
+    /// whose answer was lost is noticed at the next call. A write that reaches
+    /// the table only after the report of the next epoch fails by the row's
+    /// revision.
     async fn write(&self, report: &Report) -> Result<(), TableError> {
         let key = report_key(report.holder);
         let rows = self.table.read(&Read::Keys(vec![key.clone()])).await?;
@@ -67,19 +68,20 @@
 
     async fn read(self: &Rc<Shares>) -> Result<(), TableError> {
         let (from, to) = (REPORT_PREFIX.to_owned(), format!("{REPORT_PREFIX}~"));
-        let rows = self.table.read(&Read::Range { from, to, limit: ROWS }).await?;
+        let rows = self.table.read(&Read::Range { from, to, limit: MAX_REPORTS }).await?;
         let reports: Vec<Report> = rows.rows.iter().map(decode).collect();
         let actions = self.core.borrow_mut().on_reports(clock::now(), &reports);
-        self.carry_out(actions);
+        self.execute(actions);
         if self.core.borrow().missing_reports().next().is_none() {
-            self.clear(&rows.rows).await?;
+            self.remove_stale_rows(&rows.rows).await?;
         }
         Ok(())
     }
 
-    /// Removes the rows of entries that are gone. One that is not known here
-    /// because it has just joined reported to a later epoch.
-    async fn clear(&self, rows: &[Row]) -> Result<(), TableError> {
+    /// Removes the rows of entries that left the fleet. An entry that has just
+    /// joined and is not known here yet has reported for a later epoch, so its
+    /// row stays.
+    async fn remove_stale_rows(&self, rows: &[Row]) -> Result<(), TableError> {
         let entries = self.fleet.config().entries();
         let epoch = self.core.borrow().epoch();
         let gone = |row: &&Row| {
--- a/kingcupbayd/src/share/mod.rs
+++ b/kingcupbayd/src/share/mod.rs
@@ -1,8 +1,9 @@
 //! Admission of requests within the organisation's rate and burst.
 //!
-//! The decisions are the core's. [`peer`] carries messages between entries,
-//! [`epoch`] reads and writes the reports in the table; here a request waits
-//! for its tokens, and a guard gives back what it did not use.
+//! `kingcupbay_core::share` makes the decisions. [`peer`] sends and receives
+//! messages between entries, and [`epoch`] reads and writes the reports in the
+//! table. Here a request waits for its tokens, and its [`Reservation`] returns
+//! those it did not use.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -25,33 +26,34 @@
 
 pub(crate) use peer::{PEER_PATH, handle};
 
-/// Pause between two rounds of records to peers.
-const TICK: Duration = Duration::from_millis(500);
+/// Pause between two ticks of the core, which send due messages to peers.
+const TICK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest that a newcomer waits for its grant before it takes requests and
-/// asks its peers. A dead entry that is still a member holds up every grant.
+/// Longest time that a new entry waits for its grant before it accepts requests
+/// and asks its peers for shares. A dead entry that is still a member delays
+/// every grant.
 const GRANT_WAIT: Span = Span::from_secs(6);
 
-/// Longest hand-over at a planned stop; what is left by then comes back with
+/// Longest hand-over at a planned stop. Shares left after it are reclaimed in
 /// the next epoch.
-const HAND_OVER: Duration = Duration::from_secs(2);
+const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// This entry's shares of every organisation.
 pub(crate) struct Shares {
     core: RefCell<core::Shares>,
-    /// A report that is not known to be in its row yet.
+    /// This entry's report while its row is not known to hold it.
     unwritten: RefCell<Option<Report>>,
-    /// When the first epoch was entered.
+    /// Time at which the first epoch was entered.
     entered: RefCell<Option<Instant>>,
-    /// Told at [`Action::Retry`].
-    arrived: Notify,
+    /// Wakes the waiting requests at [`Action::Retry`].
+    retry: Notify,
     fleet: Rc<Fleet>,
     table: Table,
     clients: Clients,
     log: Logger,
 }
 
-/// Tokens set aside for one request; the drop gives back what was not used.
+/// Tokens reserved for one request; unused ones are returned when it is dropped.
 pub(crate) struct Reservation {
     shares: Rc<Shares>,
     inner: Option<core::Reservation>,
@@ -59,7 +61,7 @@
 }
 
 impl Shares {
-    /// The shares of the entry with this incarnation; none yet.
+    /// Creates the shares of the entry with this incarnation, without any share.
     pub(crate) fn new(
         incarnation: u64,
         fleet: Rc<Fleet>,
@@ -72,7 +74,7 @@
             core: RefCell::new(core),
             unwritten: RefCell::new(None),
             entered: RefCell::new(None),
-            arrived: Notify::new(),
+            retry: Notify::new(),
             fleet,
             table,
             clients,
@@ -80,7 +82,8 @@
         }
     }
 
-    /// Sets `tokens` aside for a request of `organisation`, or refuses it.
+    /// Reserves `tokens` for a request of `organisation`, waiting for shares of
+    /// peers if needed. Fails if the request is refused.
     pub(crate) async fn reserve(
         self: &Rc<Shares>,
         organisation: OrganisationId,
@@ -89,9 +92,9 @@
         let since = clock::now();
         let mut now = since;
         loop {
-            self.follow(now);
-            let arrived = self.arrived.notified();
-            // Asked here and not kept: the process may be paused at an await.
+            self.sync_config(now);
+            let retry = self.retry.notified();
+            // Read anew in each round: the process may be paused at an await.
             let standing = self.fleet.holds(now);
             let verdict = self.core.borrow_mut().admit(now, since, organisation, tokens, standing);
             let until = match verdict {
@@ -100,21 +103,21 @@
                 }
                 Verdict::Refused { code, retry_after } => return Err(refusal(code, retry_after)),
                 Verdict::Pending { actions, until } => {
-                    self.carry_out(actions);
+                    self.execute(actions);
                     until
                 }
             };
             let wait = tokio::time::sleep(until.since(clock::now()).into());
             tokio::select! {
-                () = arrived => {}
+                () = retry => {}
                 () = wait => {}
             }
             now = clock::now();
         }
     }
 
-    /// Whether callers may be sent here: there is a share, or waiting for
-    /// one is over.
+    /// Whether the entry may receive requests: it holds a share or its grant, or
+    /// it has waited [`GRANT_WAIT`] for one.
     pub(crate) fn ready(&self, now: Instant) -> bool {
         let core = self.core.borrow();
         let holds = core.shares(now).any(|(_, share)| !share.is_empty());
@@ -122,7 +125,7 @@
         holds || core.has_grant() || waited
     }
 
-    /// The shares, one line each.
+    /// Returns the shares for a dump, one line each.
     pub(crate) fn dump(&self) -> String {
         let core = self.core.borrow();
         let config = self.fleet.config();
@@ -136,8 +139,9 @@
         format!("shares epoch={} settled={}\n{lines}", core.epoch(), core.has_grant())
     }
 
-    /// Enters the epoch of the configuration in use.
-    fn follow(self: &Rc<Shares>, now: Instant) {
+    /// Enters the epoch of the configuration in use, if it is a new one, and
+    /// passes the number in force to the core.
+    fn sync_config(self: &Rc<Shares>, now: Instant) {
         let config = self.fleet.config();
         if config.shares > self.core.borrow().epoch() {
             info!(self.log, ""; "event" => "share_epoch", "epoch" => config.shares.0);
@@ -145,20 +149,21 @@
             if self.core.borrow().report().is_some() {
                 self.entered.borrow_mut().get_or_insert(now);
             }
-            self.carry_out(actions);
+            self.execute(actions);
         }
         let number = self.fleet.in_force();
         let actions = self.core.borrow_mut().on_in_force(now, number);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
-    fn carry_out(self: &Rc<Shares>, actions: Vec<Action>) {
+    /// Executes the actions of the core.
+    fn execute(self: &Rc<Shares>, actions: Vec<Action>) {
         let mut envelopes = Vec::new();
         for action in actions {
             match action {
                 Action::Send(envelope) => envelopes.push(envelope),
                 Action::Report(report) => *self.unwritten.borrow_mut() = Some(report),
-                Action::Retry(_) => self.arrived.notify_waiters(),
+                Action::Retry(_) => self.retry.notify_waiters(),
             }
         }
         self.send(envelopes);
@@ -166,7 +171,7 @@
 }
 
 impl Reservation {
-    /// Says how many tokens were used so far.
+    /// Records how many tokens the request has used so far.
     pub(crate) fn used(&mut self, tokens: u64) {
         self.used = tokens;
     }
@@ -194,28 +199,28 @@
     }
 }
 
-/// Keeps the shares of an entry until the daemon ends.
+/// Runs the shares of an entry until the daemon ends.
 pub(crate) async fn keep(shares: Rc<Shares>) {
     actix_rt::spawn(epoch::keep(shares.clone()));
     loop {
-        shares.follow(clock::now());
+        shares.sync_config(clock::now());
         let actions = shares.core.borrow_mut().on_tick(clock::now());
-        shares.carry_out(actions);
-        tokio::time::sleep(TICK).await;
+        shares.execute(actions);
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
-/// Gives every share to the entries that stay.
+/// Hands all shares over to the remaining entries.
 pub(crate) async fn hand_over(shares: Rc<Shares>) {
     let actions = shares.core.borrow_mut().on_stop(clock::now());
-    shares.carry_out(actions);
-    let given = async {
+    shares.execute(actions);
+    let handed_over = async {
         while !shares.core.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(20)).await;
             let actions = shares.core.borrow_mut().on_tick(clock::now());
-            shares.carry_out(actions);
+            shares.execute(actions);
         }
     };
-    let whole = tokio::time::timeout(HAND_OVER, given).await.is_ok();
+    let whole = tokio::time::timeout(HAND_OVER_TIMEOUT, handed_over).await.is_ok();
     info!(shares.log, ""; "event" => "shares_handed_over", "whole" => whole);
 }
--- a/kingcupbayd/src/share/peer.rs
+++ b/kingcupbayd/src/share/peer.rs
@@ -1,6 +1,8 @@
-//! Messages between entries: `POST /peer/share`, a MessagePack list of
-//! envelopes each way. The answer carries what the receiver has for the
-//! sender, so a question and its transfer take one round trip.
+//! Messages between entries about shares.
+//!
+//! `POST /peer/share` carries a MessagePack list of envelopes each way. The
+//! answer holds the receiver's envelopes for the sender, so that a request for a
+//! share and its transfer take one round trip.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -18,20 +20,22 @@
     http::{body, reply},
 };
 
-/// Where peers send messages about shares.
+/// Path to which peers send messages about shares.
 pub(crate) const PEER_PATH: &str = "/peer/share";
 
-/// Most bytes of a list of envelopes: records of some thousand organisations.
-const LIMIT: usize = 1 << 20;
+/// Longest list of envelopes, in bytes: records of some thousand organisations
+/// fit.
+const MAX_LIST_BYTES: usize = 1 << 20;
 
-/// Time for one exchange. A connection that went silent would hold questions
-/// until it is noticed; after this its pool is dropped and the next one dials.
-const EXCHANGE: Duration = Duration::from_millis(250);
+/// Time for one exchange. A dead connection would delay requests for shares
+/// until the kernel detects it; after this time its pool is dropped, and the
+/// next exchange connects anew.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Answers the messages of another entry.
 pub(crate) async fn handle(shares: Rc<Shares>, mut request: Request) -> Response<BoxBody> {
     let payload = request.take_payload();
-    let bytes = match body::read(payload, LIMIT, Span::from_secs(1)).await {
+    let bytes = match body::read(payload, MAX_LIST_BYTES, Span::from_secs(1)).await {
         Ok(bytes) => bytes,
         Err(failure) => return reply::failure(&failure),
     };
@@ -40,14 +44,14 @@
     };
     let sender = envelopes.first().map(|envelope| envelope.from);
     let mut answers = Vec::new();
-    let mut rest = Vec::new();
-    for action in shares.take_in(&envelopes) {
+    let mut remaining = Vec::new();
+    for action in shares.receive(&envelopes) {
         match action {
             Action::Send(envelope) if Some(envelope.to) == sender => answers.push(envelope),
-            other => rest.push(other),
+            other => remaining.push(other),
         }
     }
-    shares.carry_out(rest);
+    shares.execute(remaining);
     reply::bytes("application/msgpack", encode(&answers))
 }
 
@@ -56,7 +60,7 @@
 }
 
 impl Shares {
-    /// Sends each peer its envelopes. What gets lost is the core's matter.
+    /// Sends each peer its envelopes. The core handles lost ones.
     pub(super) fn send(self: &Rc<Shares>, envelopes: Vec<Envelope>) {
         let mut by_peer: BTreeMap<Holder, Vec<Envelope>> = BTreeMap::new();
         for envelope in envelopes {
@@ -76,20 +80,21 @@
         found.map(|(_, member)| member.address.clone())
     }
 
-    fn take_in(self: &Rc<Shares>, envelopes: &[Envelope]) -> Vec<Action> {
+    /// Passes received envelopes to the core and returns its actions.
+    fn receive(self: &Rc<Shares>, envelopes: &[Envelope]) -> Vec<Action> {
         let now = clock::now();
-        self.follow(now);
+        self.sync_config(now);
         let mut core = self.core.borrow_mut();
         envelopes.iter().flat_map(|envelope| core.on_message(now, envelope)).collect()
     }
 }
 
 async fn exchange(shares: Rc<Shares>, address: String, envelopes: Vec<Envelope>) {
-    let answer = tokio::time::timeout(EXCHANGE, post(&shares, &address, &envelopes)).await;
+    let answer = tokio::time::timeout(EXCHANGE_TIMEOUT, post(&shares, &address, &envelopes)).await;
     match answer {
         Ok(Some(answers)) => {
-            let actions = shares.take_in(&answers);
-            shares.carry_out(actions);
+            let actions = shares.receive(&answers);
+            shares.execute(actions);
         }
         _ => {
             shares.clients.forget(&address);
@@ -102,6 +107,6 @@
     let url = format!("http://{address}{PEER_PATH}");
     let client = shares.clients.get(address);
     let mut response = client.post(url).send_body(encode(envelopes)).await.ok()?;
-    let bytes = response.body().limit(LIMIT).await.ok()?;
+    let bytes = response.body().limit(MAX_LIST_BYTES).await.ok()?;
     rmp_serde::from_slice(&bytes).ok()
 }
--- a/kingcupbayd/src/start.rs
+++ b/kingcupbayd/src/start.rs
@@ -137,7 +137,7 @@
 /// Enters this daemon into the configuration, again and again until a read of
 /// the table shows it there: an attempt whose answer was lost may have worked.
 async fn join(daemon: Rc<Daemon>, address: String) {
-    let change = admin::join(&daemon, address);
+    let change = admin::join_change(&daemon, address);
     loop {
         let read = daemon.fleet.refresh().await;
         if read.is_ok() && daemon.fleet.is_member() {
--- a/kingcupbayd/src/store/object.rs
+++ b/kingcupbayd/src/store/object.rs
@@ -8,8 +8,9 @@
 
 use crate::http::client::Clients;
 
-/// Longest object that is read: a snapshot of 67,000 adapters has some 20 MB.
-const OBJECT_LIMIT: usize = 256 << 20;
+/// Longest object that is read, in bytes. A snapshot of 67,000 adapters has
+/// about 20 MB.
+const MAX_OBJECT_BYTES: usize = 256 << 20;
 
 /// Why an object could not be read or written.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,38 +27,39 @@
 }
 
 impl Objects {
-    /// A client for the object store at `address`; `timeout` covers one call.
+    /// Creates a client for the object store at `address`; `timeout` covers each
+    /// step of a call: the head of the answer, and its body.
     pub(crate) fn new(clients: Clients, address: SocketAddr, timeout: Span) -> Objects {
         Objects { clients, address: address.to_string(), timeout }
     }
 
-    /// Stores an object whole.
+    /// Stores an object.
     pub(crate) async fn put(&self, key: &str, body: Bytes) -> Result<(), ObjectError> {
         let url = format!("http://{}{PATH}{key}", self.address);
         let sent = self.clients.get(&self.address).put(url).send_body(body);
-        let response = self.bounded(sent).await?;
+        let response = self.with_timeout(sent).await?;
         match response.status().is_success() {
             true => Ok(()),
             false => Err(ObjectError(response.status().to_string())),
         }
     }
 
-    /// Reads an object; `None` when there is none.
+    /// Reads an object; `None` if it does not exist.
     pub(crate) async fn get(&self, key: &str) -> Result<Option<Bytes>, ObjectError> {
         let url = format!("http://{}{PATH}{key}", self.address);
         let sent = self.clients.get(&self.address).get(url).send();
-        let mut response = self.bounded(sent).await?;
+        let mut response = self.with_timeout(sent).await?;
         if response.status() == 404 {
             return Ok(None);
         }
         if !response.status().is_success() {
             return Err(ObjectError(response.status().to_string()));
         }
-        let body = self.bounded(response.body().limit(OBJECT_LIMIT)).await?;
+        let body = self.with_timeout(response.body().limit(MAX_OBJECT_BYTES)).await?;
         Ok(Some(body))
     }
 
-    async fn bounded<T, E: std::fmt::Display>(
+    async fn with_timeout<T, E: std::fmt::Display>(
         &self,
         call: impl Future<Output = Result<T, E>>,
     ) -> Result<T, ObjectError> {
--- a/kingcupbayd/src/store/table.rs
+++ b/kingcupbayd/src/store/table.rs
@@ -11,14 +11,14 @@
 
 use crate::http::client::{Clients, is_unsent};
 
-/// Longest answer of the table that is read.
-const ANSWER_LIMIT: usize = 64 << 20;
+/// Longest answer of the table, in bytes.
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// What became of a call whose answer did not come.
+/// Why a call to the table has no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub(crate) enum TableError {
-    /// The call provably never arrived, or was refused before any effect.
+    /// The call certainly did not arrive, or was refused before it took effect.
     #[error("the table cannot be reached: {0}")]
     Unreached(String),
     /// The call may have taken effect.
@@ -26,7 +26,7 @@
     Lost(String),
 }
 
-/// Client of the table.
+/// Client of the transactional table.
 #[derive(Clone)]
 pub(crate) struct Table {
     clients: Clients,
@@ -35,18 +35,18 @@
 }
 
 impl Table {
-    /// A client for the table at `address`.
+    /// Creates a client for the table at `address`; `timeout` covers one call.
     pub(crate) fn new(clients: Clients, address: SocketAddr, timeout: Span) -> Table {
         Table { clients, address: address.to_string(), timeout }
     }
 
-    /// Runs a transaction. After [`TableError::Lost`] only a read tells
-    /// whether it took effect.
+    /// Runs a transaction. After [`TableError::Lost`], only a read shows whether
+    /// it took effect.
     pub(crate) async fn txn(&self, txn: &Txn) -> Result<TxnAnswer, TableError> {
         self.post("txn", txn).await
     }
 
-    /// Reads rows in one consistent step.
+    /// Reads rows of one consistent state.
     pub(crate) async fn read(&self, read: &Read) -> Result<Rows, TableError> {
         self.post("read", read).await
     }
@@ -81,14 +81,14 @@
             true => TableError::Unreached(error.to_string()),
             false => TableError::Lost(error.to_string()),
         })?;
-        // The platform's contract: an answer of 503 took no effect.
+        // By the platform's contract, a call answered with 503 had no effect.
         if response.status() == 503 {
             return Err(TableError::Unreached("503".to_owned()));
         }
         if !response.status().is_success() {
             return Err(TableError::Lost(response.status().to_string()));
         }
-        let bytes = response.body().limit(ANSWER_LIMIT).await;
+        let bytes = response.body().limit(MAX_ANSWER_BYTES).await;
         let bytes = bytes.map_err(|error| TableError::Lost(error.to_string()))?;
         serde_json::from_slice(&bytes).map_err(|error| TableError::Lost(error.to_string()))
     }
