--- a/kingcupbayd/src/active.rs
+++ b/kingcupbayd/src/active.rs
@@ -1,10 +1,10 @@
-//! Requests that a daemon works on now, for its state dump.
+//! Requests that a daemon is working on, for its state dump.
 
 use std::{cell::RefCell, collections::BTreeMap, fmt::Write as _, rc::Rc};
 
 use kingcupbay_core::{id::RequestId, time::Instant};
 
-/// What a dump shows of one request.
+/// State of one request as the dump shows it.
 #[derive(Clone, Debug)]
 struct Row {
     organisation: String,
@@ -16,20 +16,20 @@
 
 type Rows = Rc<RefCell<BTreeMap<RequestId, Row>>>;
 
-/// Every request that this daemon works on.
+/// All requests that this daemon is working on.
 #[derive(Clone, Default)]
 pub(crate) struct ActiveRequests {
     rows: Rows,
 }
 
-/// One request; its drop takes it off the list.
+/// A listed request; dropping it removes it from the list.
 pub(crate) struct ActiveGuard {
     request: RequestId,
     rows: Rows,
 }
 
 impl ActiveRequests {
-    /// Puts a request on the list until the guard is dropped.
+    /// Adds a request to the list until the guard is dropped.
     pub(crate) fn enter(
         &self,
         request: RequestId,
@@ -48,7 +48,7 @@
         ActiveGuard { request, rows: self.rows.clone() }
     }
 
-    /// One line for each request, in the order of their ids.
+    /// Returns one line for each request, in the order of their ids.
     pub(crate) fn dump(&self, now: Instant) -> String {
         let mut out = String::new();
         for (request, row) in self.rows.borrow().iter() {
@@ -67,7 +67,7 @@
 }
 
 impl ActiveGuard {
-    /// Names the upstream that has the request.
+    /// Records the upstream that runs the request.
     pub(crate) fn on_upstream(&self, upstream: &str) {
         if let Some(row) = self.rows.borrow_mut().get_mut(&self.request)
             && row.upstream != upstream
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Counts the tokens of the request.
+    /// Records the number of tokens of the request so far.
     pub(crate) fn on_tokens(&self, tokens: u32) {
         if let Some(row) = self.rows.borrow_mut().get_mut(&self.request) {
             row.tokens = tokens;
--- a/kingcupbayd/src/config/callers.rs
+++ b/kingcupbayd/src/config/callers.rs
@@ -6,13 +6,13 @@
 
 use super::reader::Reader;
 
-/// Longest body by default, in bytes: a long conversation fits.
-const BODY_LIMIT: usize = 1 << 20;
+/// Default limit of a body; a long conversation fits.
+const DEFAULT_BODY_LIMIT_BYTES: usize = 1 << 20;
 
-/// Bounds on what callers send.
+/// Address for callers, and bounds on what they send.
 #[derive(Clone, Debug)]
 pub struct Callers {
-    /// The address; port 0 lets the kernel choose.
+    /// Address to listen at; port 0 lets the kernel choose.
     pub listen: SocketAddr,
     /// Longest body in bytes.
     pub body_limit: usize,
@@ -20,9 +20,9 @@
     pub head_timeout: Span,
     /// Time for a request's body to arrive.
     pub body_timeout: Span,
-    /// Deadline of a request that names none; zero refuses such a request.
+    /// Default deadline of a request; zero refuses requests without a deadline.
     pub deadline: Span,
-    /// Most tokens generated when a request names no number.
+    /// Default limit of generated tokens.
     pub max_tokens: u32,
 }
 
@@ -31,7 +31,12 @@
         let section = "callers";
         Callers {
             listen: reader.required(section, "listen", "IP:PORT", "127.0.0.1:0"),
-            body_limit: reader.number(section, "body_limit", 1_024..=64 << 20, BODY_LIMIT),
+            body_limit: reader.number(
+                section,
+                "body_limit",
+                1_024..=64 << 20,
+                DEFAULT_BODY_LIMIT_BYTES,
+            ),
             head_timeout: reader.millis(section, "head_timeout_ms", 100..=60_000, 5_000),
             body_timeout: reader.millis(section, "body_timeout_ms", 100..=60_000, 10_000),
             deadline: reader.millis(section, "deadline_ms", 0..=3_600_000, 0),
--- a/kingcupbayd/src/config/daemon.rs
+++ b/kingcupbayd/src/config/daemon.rs
@@ -1,4 +1,4 @@
-//! `[daemon]`: who and where this daemon is.
+//! `[daemon]`: host, availability zone and role of this daemon.
 
 use std::str::FromStr;
 
@@ -6,7 +6,7 @@
 
 use super::reader::Reader;
 
-/// Who and where this daemon is.
+/// Host, availability zone and role of this daemon.
 #[derive(Clone, Debug)]
 pub struct Daemon {
     /// Its host's name, unique in the fleet.
--- a/kingcupbayd/src/config/listener.rs
+++ b/kingcupbayd/src/config/listener.rs
@@ -4,10 +4,10 @@
 
 use super::reader::Reader;
 
-/// One address to listen at.
+/// An address to listen at.
 #[derive(Clone, Debug)]
 pub struct Listener {
-    /// The address; port 0 lets the kernel choose.
+    /// Address to listen at; port 0 lets the kernel choose.
     pub listen: SocketAddr,
 }
 
--- a/kingcupbayd/src/config/mod.rs
+++ b/kingcupbayd/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! Settings of a daemon: one INI file, checked whole at start.
+//! Settings of a daemon, read from one INI file and checked at start.
 //!
-//! Each section has a file of its own with its struct and its defaults.
-//! [`reader`] turns entries into typed values and collects every mistake, so
-//! that one start reports all of them.
+//! Each section has a module with its struct and defaults. [`reader`] turns
+//! entries into typed values and collects every mistake, so that one start
+//! reports all of them.
 
 use std::path::Path;
 
@@ -28,7 +28,7 @@
 /// All settings of one daemon.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Who and where this daemon is.
+    /// Host, availability zone and role of this daemon.
     pub daemon: Daemon,
     /// Where callers connect; entries only.
     pub callers: Option<Callers>,
@@ -36,23 +36,24 @@
     pub peers: Listener,
     /// Where operators and probes connect.
     pub operators: Listener,
-    /// Where the configuration lives.
+    /// Where the configuration is stored.
     pub config_source: ConfigSource,
     /// Timeouts and bounds that seldom need a change.
     pub tuning: Tuning,
 }
 
-/// Where the configuration lives, and who changes it.
+/// Where the configuration is stored, and who changes it.
 #[derive(Clone, Debug)]
 pub enum ConfigSource {
     /// In the table, as patches that operators send to the daemons.
     Patches(Platform),
-    /// In the platform's store, where the operator writes it whole.
+    /// In the platform's store, where the operator writes it as a whole.
     Registry(Registry),
 }
 
 impl Settings {
-    /// Reads and checks `path`.
+    /// Reads and checks the file at `path`. Fails with all mistakes, or with one
+    /// if the file cannot be read.
     pub fn load(path: &Path) -> Result<Settings, Vec<Mistake>> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -68,14 +69,14 @@
         }
     }
 
-    /// Checks `text`, the content of `file`.
+    /// Checks `text`, the content of `file`. Fails with all mistakes.
     pub fn parse(file: &str, text: &str) -> Result<Settings, Vec<Mistake>> {
         let sections = ini::parse(file, text)?;
         let mut reader = Reader::new(file, sections);
         let daemon = Daemon::read(&mut reader);
         let entry = daemon.role == Role::Entry;
         let callers = entry.then(|| Callers::read(&mut reader));
-        let config_source = match reader.has("registry") {
+        let config_source = match reader.has_section("registry") {
             true => ConfigSource::Registry(Registry::read(&mut reader, daemon.role)),
             false => ConfigSource::Patches(Platform::read(&mut reader)),
         };
--- a/kingcupbayd/src/config/platform.rs
+++ b/kingcupbayd/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! `[platform]`: where the platform's services are.
+//! `[platform]`: addresses of the platform's services.
 
 use std::net::SocketAddr;
 
--- a/kingcupbayd/src/config/reader.rs
+++ b/kingcupbayd/src/config/reader.rs
@@ -1,4 +1,4 @@
-//! Typed reading of settings, with every mistake kept.
+//! Typed reading of settings that collects every mistake.
 
 use std::{fmt::Display, str::FromStr};
 
@@ -7,45 +7,45 @@
     time::Span,
 };
 
-/// Reads sections and keeps what is wrong with them.
+/// Reads typed values from sections and collects their mistakes.
 pub(crate) struct Reader {
     file: String,
     sections: Vec<Section>,
-    /// Names of sections that some struct has asked for.
+    /// Names of the sections that have been read from.
     known: Vec<&'static str>,
     mistakes: Vec<Mistake>,
 }
 
 impl Reader {
-    /// A reader of the sections of `file`.
+    /// Creates a reader of the sections of `file`.
     pub(crate) fn new(file: &str, sections: Vec<Section>) -> Reader {
         let mut reader =
             Reader { file: file.to_owned(), sections, known: vec![""], mistakes: Vec::new() };
-        reader.refuse_repeats();
+        reader.reject_duplicates();
         reader
     }
 
-    fn mistake(&mut self, line: u32, section: &str, key: &str, found: String, allowed: String) {
+    fn add_mistake(&mut self, line: u32, section: &str, key: &str, found: String, allowed: String) {
         let (section, key) = (section.to_owned(), key.to_owned());
         let file = self.file.clone();
         self.mistakes.push(Mistake { file, line, section, key, found, allowed });
     }
 
-    fn refuse_repeats(&mut self) {
+    fn reject_duplicates(&mut self) {
         let mut seen: Vec<(String, u32)> = Vec::new();
         for at in 0..self.sections.len() {
             let (name, line) = (self.sections[at].name.clone(), self.sections[at].line);
             match seen.iter().find(|(other, _)| *other == name) {
                 Some((_, first)) => {
                     let allowed = format!("one such section; the first is on line {first}");
-                    self.mistake(line, &name, "", format!("[{name}] again"), allowed);
+                    self.add_mistake(line, &name, "", format!("[{name}] again"), allowed);
                 }
                 None => seen.push((name, line)),
             }
         }
     }
 
-    /// Takes the value of a key out, as its text and line.
+    /// Removes a key and returns its value and line.
     fn take(&mut self, section: &'static str, key: &str) -> Option<(String, u32)> {
         if !self.known.contains(&section) {
             self.known.push(section);
@@ -60,7 +60,7 @@
         self.sections.iter().find(|row| row.name == section).map_or(0, |row| row.line)
     }
 
-    /// The value of a key that may be left out.
+    /// Returns the value of an optional key.
     pub(crate) fn optional<T: FromStr>(
         &mut self,
         section: &'static str,
@@ -70,19 +70,19 @@
         let (text, line) = self.take(section, key)?;
         let parsed = text.parse().ok();
         if parsed.is_none() {
-            self.mistake(line, section, key, text, allowed.to_owned());
+            self.add_mistake(line, section, key, text, allowed.to_owned());
         }
         parsed
     }
 
-    /// The value of a key that must be there; `stand_in` serves until the
-    /// mistakes are reported.
+    /// Returns the value of a required key. If it is missing or wrong, the
+    /// mistake is kept and `placeholder` is returned in its stead.
     pub(crate) fn required<T: FromStr>(
         &mut self,
         section: &'static str,
         key: &str,
         allowed: &str,
-        stand_in: &str,
+        placeholder: &str,
     ) -> T
     where
         T::Err: std::fmt::Debug,
@@ -93,12 +93,12 @@
         }
         if self.mistakes.len() == before {
             let line = self.section_line(section);
-            self.mistake(line, section, key, "nothing".to_owned(), allowed.to_owned());
+            self.add_mistake(line, section, key, "nothing".to_owned(), allowed.to_owned());
         }
-        stand_in.parse().expect("the stand-in is a valid value")
+        placeholder.parse().expect("the placeholder is a valid value")
     }
 
-    /// Values separated by commas, none where the key is left out or empty.
+    /// Returns comma-separated values, none if the key is missing or empty.
     pub(crate) fn list<T: FromStr>(
         &mut self,
         section: &'static str,
@@ -109,17 +109,17 @@
         let parts = text.split(',').map(str::trim).filter(|part| !part.is_empty());
         let parsed: Option<Vec<T>> = parts.map(|part| part.parse().ok()).collect();
         if parsed.is_none() {
-            self.mistake(line, section, key, text.clone(), allowed.to_owned());
+            self.add_mistake(line, section, key, text.clone(), allowed.to_owned());
         }
         parsed.unwrap_or_default()
     }
 
-    /// Whether the file has `section`.
-    pub(crate) fn has(&self, section: &str) -> bool {
+    /// Whether the file contains `section`.
+    pub(crate) fn has_section(&self, section: &str) -> bool {
         self.sections.iter().any(|row| row.name == section)
     }
 
-    /// A number of `unit` within bounds, or the default.
+    /// Returns a number within `bounds`, or the default.
     pub(crate) fn number<T>(
         &mut self,
         section: &'static str,
@@ -135,13 +135,13 @@
         match text.parse::<T>() {
             Ok(value) if bounds.contains(&value) => value,
             _ => {
-                self.mistake(line, section, key, text, allowed);
+                self.add_mistake(line, section, key, text, allowed);
                 default
             }
         }
     }
 
-    /// A span given in milliseconds, or the default.
+    /// Returns a span given in milliseconds, or the default.
     pub(crate) fn millis(
         &mut self,
         section: &'static str,
@@ -152,19 +152,20 @@
         Span::from_millis(self.number(section, key, bounds, default))
     }
 
-    /// Everything that is wrong, unknown sections and keys among it.
+    /// Adds unknown sections and keys to the mistakes. Fails with all mistakes,
+    /// sorted by line, if there are any.
     pub(crate) fn finish(mut self) -> Result<(), Vec<Mistake>> {
         for section in std::mem::take(&mut self.sections) {
             if !self.known.contains(&section.name.as_str()) {
                 let known = self.known[1..].join(", ");
                 let found = format!("[{}]", section.name);
                 let allowed = format!("one of the sections {known}");
-                self.mistake(section.line, &section.name, "", found, allowed);
+                self.add_mistake(section.line, &section.name, "", found, allowed);
                 continue;
             }
             for entry in section.entries {
                 let allowed = "a key that the manual names, once".to_owned();
-                self.mistake(entry.line, &section.name, &entry.key, entry.value, allowed);
+                self.add_mistake(entry.line, &section.name, &entry.key, entry.value, allowed);
             }
         }
         self.mistakes.sort_by_key(|mistake| mistake.line);
--- a/kingcupbayd/src/config/registry.rs
+++ b/kingcupbayd/src/config/registry.rs
@@ -1,4 +1,5 @@
-//! `[registry]`: a fleet whose configuration and upstreams the platform keeps.
+//! `[registry]`: a fleet whose configuration and upstreams are kept in the
+//! platform's store.
 
 use std::net::SocketAddr;
 
@@ -6,27 +7,27 @@
 
 use super::reader::Reader;
 
-/// Where a daemon finds its configuration, and bounds that hold there.
+/// Addresses and bounds of a daemon of a registered fleet.
 #[derive(Clone, Debug)]
 pub struct Registry {
     /// The store with the configuration and the registered upstreams.
     pub store: SocketAddr,
-    /// Where the balancer asks whether an entry is ready; entries only.
+    /// Where the balancer checks an entry's readiness; entries only.
     pub ready: Option<SocketAddr>,
-    /// The engine beside this daemon; upstream daemons only.
+    /// The engine of this sidecar; upstream daemons only.
     pub engine: Option<SocketAddr>,
-    /// The service that this engine serves; upstream daemons only.
+    /// The service that the engine serves; upstream daemons only.
     pub service: Option<String>,
-    /// Port at which the daemons beside engines take messages; entries only.
+    /// Port at which the sidecars of engines receive messages; entries only.
     pub sidecars: u16,
-    /// Where other daemons reach this one, if not where it listens: behind an
-    /// address that is mapped. Entries only.
+    /// Where other daemons reach this one if that is not its listening address,
+    /// as behind address translation; entries only.
     pub advertise: Option<SocketAddr>,
-    /// Other daemons to ask while the store is away.
+    /// Other daemons to ask while the store is unreachable.
     pub seeds: Vec<SocketAddr>,
     /// Bounds on sending a request to a second upstream.
     pub repeats: RepeatLimits,
-    /// Time between a signal to stop and the end of the process.
+    /// Longest time between a signal to stop and the end of the process.
     pub grace: Span,
 }
 
--- a/kingcupbayd/src/config/tuning.rs
+++ b/kingcupbayd/src/config/tuning.rs
@@ -4,17 +4,18 @@
 
 use super::reader::Reader;
 
-/// Timeouts and bounds.
+/// Timeouts and bounds of a daemon.
 #[derive(Clone, Debug)]
 pub struct Tuning {
     /// Time to connect to a daemon, an engine or the platform.
     pub connect_timeout: Span,
-    /// Time for one answer of the platform.
+    /// Time for one answer of the platform's table.
     pub platform_timeout: Span,
-    /// Pause between two reads of the configuration's head while peers vouch:
-    /// 340 daemons then take under a tenth of the reads that the table affords.
+    /// Pause between two reads of the configuration's head while peers confirm
+    /// it. 340 daemons then use less than a tenth of the reads that the table can
+    /// serve.
     pub read_period: Span,
-    /// Pause after which a stream without news carries a heartbeat.
+    /// Pause without events after which a stream carries a heartbeat.
     pub heartbeat: Span,
     /// Silence after which a stream between daemons counts as dead; at least
     /// two heartbeats, so that one late heartbeat does not end a stream.
@@ -27,12 +28,12 @@
     pub batch: u32,
     /// Requests that wait for one upstream before more are refused.
     pub queue: u32,
-    /// Loads that a daemon has in flight on one engine. The weight store
-    /// serves eight at a time at full speed, over all engines together.
+    /// Adapter loads that a daemon has in flight on one engine. The weight store
+    /// serves eight loads at a time at full speed, over all engines together.
     pub loads: u32,
-    /// How long readiness fails before a stopping daemon refuses requests.
+    /// Time for which readiness fails before a stopping daemon refuses requests.
     pub drain_delay: Span,
-    /// Longest drain; zero waits for the last request however long it takes.
+    /// Longest drain; zero waits for the last request without a limit.
     pub drain_limit: Span,
 }
 
--- a/kingcupbayd/src/http/reply.rs
+++ b/kingcupbayd/src/http/reply.rs
@@ -10,7 +10,7 @@
 use kingcupbay_core::wire::error::{Failure, Ran};
 use serde::Serialize;
 
-/// The error body that callers of model servers know, with the further fields
+/// The error body that callers of model servers know, with two further fields,
 /// `code` and `ran`.
 #[derive(Serialize)]
 struct ErrorBody<'a> {
--- a/kingcupbayd/src/lib.rs
+++ b/kingcupbayd/src/lib.rs
@@ -1,8 +1,7 @@
-//! The kingcupbay daemon: entry and upstream roles in one program.
+//! The kingcupbay daemon, with the entry and upstream roles in one program.
 //!
-//! Sockets, timers and answers of the platform become calls of
-//! `kingcupbay_core`, and what it decides is carried out. Everything runs on
-//! one thread.
+//! The daemon passes requests, timers and answers of the platform to
+//! `kingcupbay_core` and executes its decisions. Everything runs on one thread.
 
 mod active;
 mod admin;
@@ -41,7 +40,7 @@
 use server::drain::{Drain, Phase};
 use upstream::Upstream;
 
-/// Where a running daemon listens.
+/// Addresses at which a running daemon listens.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
     /// For callers; entries only.
@@ -65,14 +64,14 @@
     joined: RefCell<bool>,
 }
 
-/// What only one role has.
+/// State of the daemon's role.
 enum RoleState {
     Entry(Rc<Entry>),
     Upstream(Rc<Upstream>),
 }
 
 impl Daemon {
-    /// Whether this daemon should get work.
+    /// Whether this daemon should receive requests.
     fn ready(&self) -> bool {
         let serving = self.drain.phase() == Phase::Serving;
         let role = match &self.role {
@@ -82,7 +81,7 @@
         serving && role && *self.joined.borrow() && self.fleet.holds(clock::now())
     }
 
-    /// The role's part of the state dump.
+    /// Returns the role's part of the state dump.
     fn dump(&self) -> String {
         match &self.role {
             RoleState::Entry(entry) => entry.dump(),
@@ -91,7 +90,7 @@
     }
 }
 
-/// Answers one request of another daemon.
+/// Answers a request of another daemon.
 async fn handle_peer(daemon: Rc<Daemon>, request: Request) -> Response<BoxBody> {
     match (&daemon.role, request.path()) {
         (RoleState::Upstream(upstream), "/run") => {
--- a/kingcupbayd/src/logging.rs
+++ b/kingcupbayd/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs for each event, on standard output.
+//! Logs on standard output, one line of key=value pairs for each event.
 
 use std::io;
 
@@ -6,21 +6,22 @@
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
 use slog_logfmt::Logfmt;
 
-/// Lines that wait to be written. A second of a daemon's busiest load is some
-/// hundred lines; when nobody reads them, more are dropped, counted, and the
-/// count is logged once there is room again. The daemon itself never waits.
-const LINES: usize = 2_048;
+/// Lines that may wait to be written. A daemon under its highest load writes a
+/// few hundred lines in a second. If standard output is not read, further lines
+/// are dropped, and their count is logged once there is room again, so the
+/// daemon never waits.
+const MAX_QUEUED_LINES: usize = 2_048;
 
-/// A logger that names the host on each line, and a guard whose drop writes
-/// what waits.
+/// Returns a logger that names the host on each line, and a guard that writes
+/// the queued lines when it is dropped.
 ///
-/// Nothing that is logged may hold an access key: keys are hashed as soon as
-/// their header is read, and only ids go on from there.
+/// No log line may contain an access key: keys are hashed as soon as their
+/// header is read, and only ids are passed on.
 pub fn logger(host: &str) -> (Logger, AsyncGuard) {
     let drain = Logfmt::new(io::stdout()).no_prefix().print_level(true).build();
-    // A reader that has closed its end must not end the daemon.
+    // The daemon must keep running when the reader of its output is gone.
     let drain = drain.filter_level(Level::Info).ignore_res();
-    let lines = Async::new(drain).chan_size(LINES);
+    let lines = Async::new(drain).chan_size(MAX_QUEUED_LINES);
     let lines = lines.overflow_strategy(OverflowStrategy::DropAndReport);
     let (drain, guard) = lines.build_with_guard();
     (Logger::root(drain.ignore_res(), o!("host" => host.to_owned())), guard)
--- a/kingcupbayd/src/main.rs
+++ b/kingcupbayd/src/main.rs
@@ -1,4 +1,5 @@
-//! The daemon's program: reads its settings, runs, stops on the first signal.
+//! Main program of the daemon: reads its settings, runs, and stops at the first
+//! signal.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -21,8 +22,8 @@
     check: bool,
 }
 
-/// Exit code when the settings have mistakes.
-const MISTAKES: u8 = 2;
+/// Exit code for invalid settings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
     let args = Args::parse();
@@ -32,7 +33,7 @@
             for mistake in mistakes {
                 eprintln!("{mistake}");
             }
-            return ExitCode::from(MISTAKES);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if args.check {
@@ -50,11 +51,11 @@
 
 async fn run(settings: Settings, log: slog::Logger) -> std::io::Result<()> {
     if let ConfigSource::Registry(registry) = settings.config_source.clone() {
-        let stop = signal::stop(&log)?;
+        let stop = signal::stop_signal(&log)?;
         return kingcupbayd::run_registered(settings, registry, log.clone(), stop).await;
     }
     let running = kingcupbayd::start(settings, log.clone())?;
-    signal::stop(&log)?.await;
+    signal::stop_signal(&log)?.await;
     running.stop().await;
     Ok(())
 }
--- a/kingcupbayd/src/metrics.rs
+++ b/kingcupbayd/src/metrics.rs
@@ -5,21 +5,22 @@
     IntGaugeVec, Opts, Registry, TextEncoder,
 };
 
-/// Bounds of latencies in seconds: from relaying to a cold start in a queue.
+/// Bucket bounds of latencies in seconds, from a relayed request to a cold start
+/// behind a queue.
 pub(crate) const LATENCY_BUCKETS: &[f64] =
     &[0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0];
 
-/// Bounds of gaps between tokens or events in seconds, close around the aim of
-/// 43 ms.
+/// Bucket bounds of gaps between tokens or events in seconds, dense around the
+/// target of 43 ms.
 pub(crate) const EVENT_GAP_BUCKETS: &[f64] =
     &[0.005, 0.01, 0.015, 0.02, 0.025, 0.03, 0.035, 0.043, 0.06, 0.1, 0.25, 0.5, 1.0, 5.0];
 
 /// Every metric of a daemon; those of the other role stay at zero.
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Requests by organisation and code; `ok` is a whole answer.
+    /// Requests by organisation and code; `ok` is a complete answer.
     pub(crate) requests: IntCounterVec,
-    /// Answers that could not be delivered whole, by organisation.
+    /// Answers that could not be delivered completely, by organisation.
     pub(crate) undelivered: IntCounterVec,
     /// Attempts beyond the first, by reason.
     pub(crate) retries: IntCounterVec,
@@ -39,18 +40,18 @@
     pub(crate) streams: IntGauge,
     /// Requests that run on an upstream's engine.
     pub(crate) running: IntGaugeVec,
-    /// Requests that wait for it.
+    /// Requests that wait for an upstream's engine.
     pub(crate) waiting: IntGaugeVec,
-    /// Requests that it may run at once.
+    /// Requests that an upstream's engine may run at once.
     pub(crate) places: IntGaugeVec,
-    /// Number of the configuration in use.
+    /// Configuration number in use.
     pub(crate) config_number: IntGauge,
     /// Whether this daemon may act on what it knows.
     pub(crate) standing: IntGauge,
 }
 
 impl Metrics {
-    /// Metrics at zero.
+    /// Creates all metrics at zero.
     pub(crate) fn new() -> Metrics {
         let registry = Registry::new();
         let counters =
@@ -108,21 +109,22 @@
         }
     }
 
-    /// Shows every organisation's lost answers from zero on. A series that
-    /// begins at one hides its first loss from whoever watches its increase.
+    /// Exports the undelivered answers of every organisation from zero on. In a
+    /// series that begins at one, the first undelivered answer is no increase,
+    /// so an alert on the increase would miss it.
     pub(crate) fn on_organisations<'a>(&self, names: impl Iterator<Item = &'a str>) {
         for name in names {
             self.undelivered.with_label_values(&[name]);
         }
     }
 
-    /// All metrics in Prometheus's text format.
+    /// Returns all metrics in Prometheus's text format.
     pub(crate) fn text(&self) -> String {
         text(&self.registry)
     }
 }
 
-/// A new counter for each set of labels.
+/// Registers a counter for each set of labels.
 pub(crate) fn counters(
     registry: &Registry,
     name: &str,
@@ -132,24 +134,25 @@
     registered(registry, IntCounterVec::new(Opts::new(name, help), labels))
 }
 
-/// A counter of the calls of the platform's store, for the registry of either role.
+/// Creates a counter of calls to the platform's store, for the registry of either
+/// role.
 pub(crate) fn store_calls() -> IntCounterVec {
     let options = Opts::new("kingcupbay_store_calls_total", "Calls of the platform's store");
     let calls = IntCounterVec::new(options, &["call", "table"]);
     calls.expect("the name and the labels are valid")
 }
 
-/// A new gauge for each set of labels.
+/// Registers a gauge for each set of labels.
 pub(crate) fn gauges(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
     registered(registry, IntGaugeVec::new(Opts::new(name, help), labels))
 }
 
-/// A new counter.
+/// Registers a counter.
 pub(crate) fn counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
     registered(registry, IntCounter::new(name, help))
 }
 
-/// A new histogram for each set of labels.
+/// Registers a histogram for each set of labels.
 pub(crate) fn histograms(
     registry: &Registry,
     name: &str,
@@ -161,7 +164,7 @@
     registered(registry, HistogramVec::new(options, labels))
 }
 
-/// Everything in `registry` in Prometheus's text format.
+/// Returns all metrics of `registry` in Prometheus's text format.
 pub(crate) fn text(registry: &Registry) -> String {
     let mut out = Vec::new();
     TextEncoder::new().encode(&registry.gather(), &mut out).expect("writing to memory cannot fail");
--- a/kingcupbayd/src/signal.rs
+++ b/kingcupbayd/src/signal.rs
@@ -1,17 +1,18 @@
-//! Signals that ask for a planned stop, or tell of changed settings.
+//! Signals that start a planned stop or announce changed settings.
 
 use std::io;
 
 use actix_rt::signal::unix::{SignalKind, signal};
 use slog::{Logger, info};
 
-/// Ends at the first SIGTERM or SIGINT. Later ones change nothing: a second
-/// signal must not cut the requests that the first one lets finish.
+/// Returns a future that completes at the first SIGTERM or SIGINT. Later ones
+/// have no effect: a second signal must not cut the requests that the first one
+/// lets finish. Fails if a handler cannot be installed.
 ///
-/// SIGHUP tells that the settings file has changed. What it holds, addresses
-/// and bounds, is fixed for the life of a process, so the signal is logged and
-/// must not end it.
-pub(crate) fn stop(log: &Logger) -> io::Result<impl Future<Output = ()> + use<>> {
+/// SIGHUP announces a changed settings file. Its addresses and bounds are fixed
+/// for the lifetime of a process, so the signal is only logged and must not end
+/// the process.
+pub(crate) fn stop_signal(log: &Logger) -> io::Result<impl Future<Output = ()> + use<>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut hangup = signal(SignalKind::hangup())?;
--- a/kingcupbayd/src/start.rs
+++ b/kingcupbayd/src/start.rs
@@ -28,22 +28,23 @@
     upstream::Upstream,
 };
 
-/// Time for the head of a request from an operator or another daemon.
-const HEAD_TIME: Span = Span::from_secs(5);
+/// Time for the head of a request of an operator or another daemon.
+const HEAD_TIMEOUT: Span = Span::from_secs(5);
 
 /// Pause between two attempts to join.
-const JOIN_PAUSE: std::time::Duration = std::time::Duration::from_millis(100);
+const JOIN_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(100);
 
 /// A running daemon.
 pub struct Running {
-    /// Where it listens.
+    /// Addresses at which it listens.
     pub addresses: Addresses,
     daemon: Rc<Daemon>,
     servers: Vec<actix_rt::task::JoinHandle<()>>,
 }
 
-/// Starts a daemon that keeps its configuration as patches in the table, on
-/// the present thread's runtime.
+/// Starts a daemon whose configuration is kept as patches in the table, on the
+/// current thread's runtime. Fails if the settings name a registry or an address
+/// cannot be bound.
 pub fn start(settings: Settings, log: Logger) -> std::io::Result<Running> {
     let ConfigSource::Patches(platform) = settings.config_source.clone() else {
         let message = "these settings name a registry, not a table of patches";
@@ -59,7 +60,7 @@
         peers: peers_at,
         operators: operators_at,
     };
-    let daemon = assemble(settings.clone(), &platform, log);
+    let daemon = build_daemon(settings.clone(), &platform, log);
     actix_rt::spawn(fleet::run(daemon.fleet.clone(), settings.clone()));
     actix_rt::spawn(join(daemon.clone(), peers_at.to_string()));
     match &daemon.role {
@@ -74,24 +75,25 @@
     let mut servers = Vec::new();
     if let (Some((listener, _)), RoleState::Entry(entry)) = (callers, &daemon.role) {
         let entry = entry.clone();
-        let head = settings.callers.as_ref().map_or(HEAD_TIME, |callers| callers.head_timeout);
+        let head = settings.callers.as_ref().map_or(HEAD_TIMEOUT, |callers| callers.head_timeout);
         let handle = move |request| entry::handle(entry.clone(), request);
         servers.push(actix_rt::spawn(server::serve(listener, head, daemon.drain.clone(), handle)));
     }
     let state = daemon.clone();
     let handle = move |request| handle_peer(state.clone(), request);
-    servers.push(actix_rt::spawn(server::serve(peers, HEAD_TIME, daemon.drain.clone(), handle)));
-    // Operators watch a stop until its end, so nothing waits for them.
+    servers.push(actix_rt::spawn(server::serve(peers, HEAD_TIMEOUT, daemon.drain.clone(), handle)));
+    // The operators' port stays open until the stop is complete, so it has a
+    // drain of its own, which nothing waits for.
     let state = daemon.clone();
     let handle = move |request| admin::handle(state.clone(), request);
-    actix_rt::spawn(server::serve(operators, HEAD_TIME, Drain::new(), handle));
+    actix_rt::spawn(server::serve(operators, HEAD_TIMEOUT, Drain::new(), handle));
     info!(daemon.log, ""; "event" => "listening", "role" => ?daemon.settings.daemon.role,
         "callers" => addresses.callers.map(|at| at.to_string()),
         "peers" => %addresses.peers, "operators" => %addresses.operators);
     Ok(Running { addresses, daemon, servers })
 }
 
-fn assemble(settings: Rc<Settings>, platform: &Platform, log: Logger) -> Rc<Daemon> {
+fn build_daemon(settings: Rc<Settings>, platform: &Platform, log: Logger) -> Rc<Daemon> {
     let tuning = &settings.tuning;
     let clients = Clients::new(tuning.connect_timeout);
     let table = Table::new(clients.clone(), platform.table, tuning.platform_timeout);
@@ -134,8 +136,8 @@
     Rc::new(Daemon { settings, incarnation, fleet, clients, metrics, drain, role, log, joined })
 }
 
-/// Enters this daemon into the configuration, again and again until a read of
-/// the table shows it there: an attempt whose answer was lost may have worked.
+/// Adds this daemon to the configuration, repeating the patch until a read of
+/// the table shows it there: a patch whose answer was lost may have been applied.
 async fn join(daemon: Rc<Daemon>, address: String) {
     let change = admin::join_change(&daemon, address);
     loop {
@@ -160,13 +162,13 @@
                 other => warn!(daemon.log, ""; "event" => "join_failed", "outcome" => ?other),
             }
         }
-        tokio::time::sleep(JOIN_PAUSE).await;
+        tokio::time::sleep(JOIN_RETRY_DELAY).await;
     }
 }
 
 impl Running {
-    /// Stops as planned: readiness fails first, running requests finish, then
-    /// this ends. Requests that still run after the operator's limit are cut.
+    /// Stops as planned: readiness fails first, then running requests finish.
+    /// Requests that still run after `drain_limit` are cut.
     pub async fn stop(self) {
         let tuning = &self.daemon.settings.tuning;
         let log = &self.daemon.log;
