--- a/kingcupbayd/examples/embedded.rs
+++ b/kingcupbayd/examples/embedded.rs
@@ -1,7 +1,7 @@
-//! Everything in one process: stand-ins of the platform, two engines and a
+//! A small fleet in one process: stand-ins of the platform, two engines and a
 //! plain service, with two upstream daemons and an entry before them.
 //!
-//! It answers one sample request, then serves until it is interrupted:
+//! It sends one sample request, then serves until it is interrupted:
 //!
 //! ```text
 //! cargo run --release --example embedded
@@ -27,10 +27,10 @@
 use kingcupbay_standin::{Engine, EngineSettings, PlainService, Platform};
 use kingcupbayd::{Running, config::Settings, logger, start};
 
-/// Access key of the sample organisation; a real one is drawn at random.
+/// Access key of the sample organisation. A real key is generated at random.
 const SECRET: &str = "kcb_sample";
 
-type Failure = Box<dyn Error>;
+type AnyError = Box<dyn Error>;
 
 /// Runs a whole small fleet in one process.
 #[derive(Parser)]
@@ -46,39 +46,39 @@
     once: bool,
 }
 
-fn main() -> Result<(), Failure> {
+fn main() -> Result<(), AnyError> {
     let args = Args::parse();
     actix_rt::System::new().block_on(run(args))
 }
 
-async fn run(args: Args) -> Result<(), Failure> {
-    let any: SocketAddr = (Ipv4Addr::LOCALHOST, 0).into();
-    let platform = Platform::start(any, Duration::from_millis(250))?;
+async fn run(args: Args) -> Result<(), AnyError> {
+    let any_port: SocketAddr = (Ipv4Addr::LOCALHOST, 0).into();
+    let platform = Platform::start(any_port, Duration::from_millis(250))?;
     let settings =
         EngineSettings { weights: Some(platform.server().address()), ..Default::default() };
-    let engines = [Engine::start(any, settings.clone())?, Engine::start(any, settings)?];
-    let service = PlainService::start(any)?;
+    let engines = [Engine::start(any_port, settings.clone())?, Engine::start(any_port, settings)?];
+    let service = PlainService::start(any_port)?;
     let mut daemons = Vec::new();
     for host in ["upstream-1", "upstream-2"] {
-        daemons.push(daemon(host, "upstream", any, platform.server().address(), "")?);
+        daemons.push(start_daemon(host, "upstream", any_port, platform.server().address(), "")?);
     }
     let callers = format!("[callers]\nlisten = {}\ndeadline_ms = 30000\n", args.callers);
-    daemons.push(daemon(
+    daemons.push(start_daemon(
         "entry-1",
         "entry",
         args.operators,
         platform.server().address(),
         &callers,
     )?);
-    let mut changes = sample();
+    let mut changes = sample_changes();
     for (at, engine) in engines.iter().enumerate() {
         let serves = Serves::Model { base: name("base"), slots: 8, fenced: false };
         changes.push(upstream(&format!("gpu-{at}"), at + 1, engine.server().address(), serves));
     }
     let serves = Serves::Service { service: name("booking") };
     changes.push(upstream("desk", 1, service.server().address(), serves));
-    configure(args.operators, changes).await?;
-    ask(args.callers).await?;
+    apply_when_joined(args.operators, changes).await?;
+    send_sample_request(args.callers).await?;
     if args.once {
         return Ok(());
     }
@@ -100,13 +100,14 @@
     text.parse().expect("the sample's names are valid")
 }
 
-fn daemon(
+/// Starts a daemon; `callers` is the `[callers]` section of an entry.
+fn start_daemon(
     host: &str,
     role: &str,
     operators: SocketAddr,
     platform: SocketAddr,
     callers: &str,
-) -> Result<Running, Failure> {
+) -> Result<Running, AnyError> {
     let text = format!(
         "[daemon]\nhost = {host}\nzone = local\nrole = {role}\n{callers}[peers]\n\
          listen = 127.0.0.1:0\n[operators]\nlisten = {operators}\n[platform]\n\
@@ -116,12 +117,13 @@
     let settings = Settings::parse("embedded.ini", &text);
     let settings = settings.expect("the sample's settings are valid");
     let (log, written) = logger(host);
-    // The example ends with its last line; nothing waits longer than that.
+    // The logger is used until the example ends, so its guard is never dropped.
     std::mem::forget(written);
     Ok(start(settings, log)?)
 }
 
-fn sample() -> Vec<Change> {
+/// Changes for one organisation with a key, an adapter and a route.
+fn sample_changes() -> Vec<Change> {
     let winery = name("winery");
     let adapter = |default| Change::SetAdapter {
         name: name("tasting"),
@@ -149,6 +151,7 @@
     ]
 }
 
+/// The change that adds an upstream, owned by the daemon on `upstream-{host}`.
 fn upstream(text: &str, host: usize, address: SocketAddr, serves: Serves) -> Change {
     let upstream = Upstream {
         name: name(text),
@@ -162,7 +165,7 @@
 }
 
 /// Applies `changes` as soon as the three daemons have joined.
-async fn configure(operators: SocketAddr, changes: Vec<Change>) -> Result<(), Failure> {
+async fn apply_when_joined(operators: SocketAddr, changes: Vec<Change>) -> Result<(), AnyError> {
     let client = awc::Client::default();
     let mut patch = Patch {
         id: RequestId([1; 16]),
@@ -186,7 +189,7 @@
 }
 
 /// Sends the sample request and prints the answer as it comes.
-async fn ask(callers: SocketAddr) -> Result<(), Failure> {
+async fn send_sample_request(callers: SocketAddr) -> Result<(), AnyError> {
     let body = serde_json::json!({
         "model": "tasting@v1",
         "messages": [{"role": "user", "content": "a tour of two wineries"}],
--- a/kingcupbayd/tests/operators.rs
+++ b/kingcupbayd/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' tool against running daemons.
+//! Tests of the operators' tool against running daemons.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,8 +12,8 @@
 };
 use kingcupbay_core::config::change::Change;
 
-/// Runs the tool; its exit code, output and errors.
-fn tool(daemons: &[&Process], args: &[&str]) -> (i32, String, String) {
+/// Runs the tool and returns its exit code, output and errors.
+fn run_tool(daemons: &[&Process], args: &[&str]) -> (i32, String, String) {
     let mut command = Command::new(common::binary_path("kingcupbay"));
     command.env_remove("KINGCUPBAY_DAEMON").args(["--author", "ops"]).args(args);
     for daemon in daemons {
@@ -24,16 +24,17 @@
     (output.status.code().unwrap(), text(output.stdout), text(output.stderr))
 }
 
-/// The output of a run that must succeed.
-fn done(daemon: &Process, args: &[&str]) -> String {
-    let (code, output, errors) = tool(&[daemon], args);
+/// Runs the tool, which must succeed, and returns its output.
+fn run_ok(daemon: &Process, args: &[&str]) -> String {
+    let (code, output, errors) = run_tool(&[daemon], args);
     assert_eq!(code, 0, "{args:?}: {errors}");
     output
 }
 
-/// An operator brings up a desk with nothing but the tool: organisation, key,
-/// adapter, version and upstream; the key that was shown once then works, and
-/// a stale patch is refused.
+/// Configures organisation, key, adapter, version and upstream with the tool
+/// alone. Guards against commands that daemons refuse or apply wrongly: the
+/// issued key must work and appear in no export or dump, a stale patch must be
+/// refused, and the dump of any host must be available from any daemon.
 #[actix_rt::test]
 async fn an_operator_configures_a_fleet_with_the_tool() {
     let platform = start_standin("platform", &["--load", "1"]);
@@ -43,17 +44,17 @@
     wait_until_ready(&upstream).await;
     wait_until_ready(&entry).await;
     let words = |line: &'static str| line.split(' ').collect::<Vec<_>>();
-    done(&entry, &words("organisation set winery --rate 10000 --burst 100000"));
-    let secret = done(&entry, &words("key issue desk --organisation winery"));
-    done(&upstream, &words("adapter set tasting --organisation winery --base base"));
-    done(&entry, &words("version add tasting@v1 --source weights/tasting/v1"));
+    run_ok(&entry, &words("organisation set winery --rate 10000 --burst 100000"));
+    let secret = run_ok(&entry, &words("key issue desk --organisation winery"));
+    run_ok(&upstream, &words("adapter set tasting --organisation winery --base base"));
+    run_ok(&entry, &words("version add tasting@v1 --source weights/tasting/v1"));
     let Change::SetUpstream { upstream: row } = model_upstream("gpu-1", "upstream-1", &engine)
     else {
         unreachable!("it sets an upstream")
     };
     let set = words("upstream set gpu-1 --host upstream-1 --zone zone-a --base base --slots 8");
     let rest = ["--fenced", "true", "--address", row.address.as_str()];
-    let taken = done(&entry, &[set, rest.to_vec()].concat());
+    let taken = run_ok(&entry, &[set, rest.to_vec()].concat());
     let number: u64 = taken.split(' ').nth(1).unwrap().parse().unwrap();
     wait_for_number(&upstream, number).await;
     wait_for_number(&entry, number).await;
@@ -62,34 +63,35 @@
     let answer = send_request(request, &completion_body("tasting@v1", 3)).await;
     assert_eq!((answer.status, answer.events().len()), (200, 4), "{}", answer.body);
 
-    let export = done(&entry, &["export"]);
+    let export = run_ok(&entry, &["export"]);
     assert!(!export.contains(secret.trim()));
     let file = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("operators.ini");
     std::fs::write(&file, export.replace("burst = 100000", "burst = 5000")).unwrap();
     let file = file.to_str().unwrap();
-    let plan = done(&entry, &["plan", file]);
+    let plan = run_ok(&entry, &["plan", file]);
     let expected =
         format!("against {number}: 1 change\n  set organisation winery rate=10000 burst=5000\n");
     assert_eq!(plan, expected);
     let against = number.to_string();
-    done(&entry, &["apply", "--against", &against, file]);
-    let (code, _, errors) = tool(&[&entry], &["apply", "--against", &against, file]);
+    run_ok(&entry, &["apply", "--against", &against, file]);
+    let (code, _, errors) = run_tool(&[&entry], &["apply", "--against", &against, file]);
     let stale = format!("stale: made against {number}, but {} is in force", number + 1);
     assert!(code == 3 && errors.contains(&stale), "{errors}");
 
-    let history = done(&entry, &["history", "--after", &against]);
+    let history = run_ok(&entry, &["history", "--after", &against]);
     assert!(history.contains("ops     set organisation winery"), "{history}");
-    assert!(done(&upstream, &["status"]).contains("upstream-1"));
+    assert!(run_ok(&upstream, &["status"]).contains("upstream-1"));
     for (asked, host) in [(&entry, "upstream-1"), (&entry, "entry-1"), (&upstream, "entry-1")] {
-        let dump = done(asked, &["dump", host]);
+        let dump = run_ok(asked, &["dump", host]);
         assert!(dump.starts_with(&format!("host={host} ")), "{dump}");
         assert!(!dump.contains(secret.trim()));
     }
-    let (code, _, errors) = tool(&[&entry], &["dump", "nowhere"]);
+    let (code, _, errors) = run_tool(&[&entry], &["dump", "nowhere"]);
     assert!(code == 1 && errors.contains("refused: no such member"), "{errors}");
 }
 
-/// The daemon an operator named first is gone; the second takes the patch.
+/// The first daemon that the operator names has been killed. Guards against a
+/// tool that fails instead of sending the patch to the second one.
 #[actix_rt::test]
 async fn another_daemon_takes_the_patch_when_the_first_is_gone() {
     let platform = start_standin("platform", &[]);
@@ -101,7 +103,7 @@
     wait_until_ready(&two).await;
     one.signal("-KILL");
     let args = ["organisation", "set", "winery", "--rate", "1", "--burst", "1"];
-    let (code, output, errors) = tool(&[&one, &two], &args);
+    let (code, output, errors) = run_tool(&[&one, &two], &args);
     assert_eq!(code, 0, "{errors}");
     assert!(output.contains("is in force"), "{output}");
 }
--- a/kingcupbayd/tests/path.rs
+++ b/kingcupbayd/tests/path.rs
@@ -1,5 +1,5 @@
-//! The whole path as separate processes: caller, entry, upstream daemon,
-//! engine, platform.
+//! Tests of the whole path with separate processes: caller, entry, upstream
+//! daemon, engine and platform.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,6 +8,8 @@
 use common::{Fleet, build_request, completion_body, send_request};
 use kingcupbay_standin::answer_text;
 
+/// Streams an answer of each version. Guards against tokens of another version
+/// or request, and against tokens lost or changed on the path.
 #[actix_rt::test]
 async fn a_streamed_answer_is_the_named_adapters_to_the_last_byte() {
     let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "0"], "").await;
--- a/kingcupbayd/tests/route.rs
+++ b/kingcupbayd/tests/route.rs
@@ -1,4 +1,4 @@
-//! Entries route by what upstream daemons tell them.
+//! Tests that entries route by the reports of upstream daemons.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,7 +10,7 @@
 use kingcupbay_core::config::{change::Change, model::Config};
 use kingcupbay_standin::EngineRecord;
 
-/// Shows upstream `at` as leaving, or not.
+/// Sets whether upstream `at` is leaving.
 async fn set_leaving(fleet: &mut Fleet, at: usize, leaving: bool) {
     let text = get_text(&fleet.entries[0], "/admin/config").await;
     let config: Config = serde_json::from_str(&text).unwrap();
@@ -20,41 +20,44 @@
     fleet.apply(&[Change::SetUpstream { upstream }]).await;
 }
 
-async fn loads(fleet: &Fleet, at: usize) -> usize {
+/// Returns how many adapters engine `at` has loaded so far.
+async fn count_loads(fleet: &Fleet, at: usize) -> usize {
     let record: EngineRecord = control(&fleet.engines[at]).get("/state").await.unwrap();
     record.loads.len()
 }
 
-async fn serve(fleet: &Fleet, entry: usize) {
+/// Sends a request through entry `entry`; it must succeed.
+async fn send_completion(fleet: &Fleet, entry: usize) {
     let body = completion_body("tasting@v1", 4);
     let answer = send_request(build_request(&fleet.entries[entry], "/v1/completions"), &body).await;
     assert_eq!(answer.status, 200, "{}", answer.body);
 }
 
-/// An adapter sits on an engine that is not the first choice for it, because
-/// that one was away. Another entry, which sent none of its requests, must
-/// learn where it is: else the guest waits for a second cold start.
+/// An adapter is resident on an engine that is not the first choice for it,
+/// because that one was leaving when it was loaded. Another entry, which sent
+/// none of its requests, must learn this from reports. Otherwise the caller
+/// waits for a second cold start.
 #[actix_rt::test]
 async fn an_entry_learns_from_reports_where_an_adapter_is() {
     let mut fleet = Fleet::start(2, 2, &["--first", "1", "--gap", "0"], "").await;
-    serve(&fleet, 0).await;
-    let first = if loads(&fleet, 0).await > 0 { 0 } else { 1 };
+    send_completion(&fleet, 0).await;
+    let first = if count_loads(&fleet, 0).await > 0 { 0 } else { 1 };
     let other = 1 - first;
     set_leaving(&mut fleet, first, true).await;
-    serve(&fleet, 0).await;
-    assert_eq!(loads(&fleet, other).await, 1);
+    send_completion(&fleet, 0).await;
+    assert_eq!(count_loads(&fleet, other).await, 1);
     control(&fleet.engines[first]).restart().await.unwrap();
-    let held = |at: usize, count: usize| {
+    let resident = |at: usize, count: usize| {
         format!("upstream=gpu-{} leaving=false reachable=true holds={count} ", at + 1)
     };
     set_leaving(&mut fleet, first, false).await;
     wait_until("the reports", async || {
         let dump = get_text(&fleet.entries[1], "/admin/dump").await;
-        (dump.contains(&held(first, 0)) && dump.contains(&held(other, 1))).then_some(())
+        (dump.contains(&resident(first, 0)) && dump.contains(&resident(other, 1))).then_some(())
     })
     .await;
     for _ in 0..10 {
-        serve(&fleet, 1).await;
+        send_completion(&fleet, 1).await;
     }
     let record: EngineRecord = control(&fleet.engines[first]).get("/state").await.unwrap();
     assert_eq!(record.ran.len(), 1, "all later requests found the loaded adapter");
