--- a/kingcupbay_bench/src/serve/mod.rs
+++ b/kingcupbay_bench/src/serve/mod.rs
@@ -114,11 +114,11 @@
     fn tuning(&self) -> Tuning {
         let mut tuning = Tuning::default();
         let Tuning { slot, route, .. } = &mut tuning;
-        route.bound = self.bound.unwrap_or(route.bound);
-        route.slack = self.slack.unwrap_or(route.slack);
+        route.load_ratio = self.bound.unwrap_or(route.load_ratio);
+        route.load_slack = self.slack.unwrap_or(route.load_slack);
         slot.half_life = self.half_life.map_or(slot.half_life, Span::from_secs);
-        slot.patience = self.patience.map_or(slot.patience, Span::from_millis);
-        slot.reserve = self.reserve.unwrap_or(slot.reserve);
+        slot.max_wait = self.patience.map_or(slot.max_wait, Span::from_millis);
+        slot.prefetch_reserve = self.reserve.unwrap_or(slot.prefetch_reserve);
         tuning
     }
 }
--- a/kingcupbay_bench/src/serve/sim.rs
+++ b/kingcupbay_bench/src/serve/sim.rs
@@ -5,7 +5,7 @@
 use kingcupbay_core::{
     id::{Id, Name, UpstreamId, VersionId},
     queue::{Entry, GivenUp},
-    route::{Progress, Report, Retry, RetryBudget, Router, Work},
+    route::{Progress, Report, Retry, RetryBudget, Router, WorkKind},
     slot::{Action, Order, Outcome},
     time::{Instant, Span},
     wire::error::Code,
@@ -181,7 +181,7 @@
         self.measures.requests += 1;
         self.requests[index].entrance = self.random.below(ENTRIES);
         if let Some(entrances) = &mut self.entrances {
-            entrances[self.requests[index].entrance].retries.first();
+            entrances[self.requests[index].entrance].retries.record_first_attempt();
         }
         self.route(index);
     }
@@ -407,7 +407,9 @@
         request.guard = None;
         request.tried = vec![UpstreamId::from_raw(upstream as u32)];
         let verdict = match &mut self.entrances {
-            Some(entrances) => entrances[request.entrance].retries.retry(Work::Generate, progress),
+            Some(entrances) => {
+                entrances[request.entrance].retries.retry(WorkKind::Generate, progress)
+            }
             None => Retry::Again,
         };
         match verdict {
--- a/kingcupbay_core/benches/serve.rs
+++ b/kingcupbay_core/benches/serve.rs
@@ -106,7 +106,7 @@
 }
 
 fn bench_queue() {
-    let limits = queue::Limits { length: 2_000, ..queue::Limits::default() };
+    let limits = queue::Limits { max_waiting: 2_000, ..queue::Limits::default() };
     let mut queue = Queue::new(limits);
     let mut draw = draws();
     let entry = |round: u64, draw: &mut dyn FnMut(u64) -> u64| Entry {
--- a/kingcupbay_core/src/queue/mod.rs
+++ b/kingcupbay_core/src/queue/mod.rs
@@ -33,17 +33,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Most requests that wait.
-    pub length: usize,
+    pub max_waiting: usize,
     /// Least time between a start and a useful answer.
-    pub least: Span,
+    pub min_runtime: Span,
     /// Most tokens that a lane may lag behind the lane served last. Without
     /// it, a lane held up by loads would afterwards take every place.
-    pub credit: u64,
+    pub max_lag: u64,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { length: 1024, least: Span::from_millis(50), credit: 20_000 }
+        Limits { max_waiting: 1024, min_runtime: Span::from_millis(50), max_lag: 20_000 }
     }
 }
 
@@ -111,10 +111,10 @@
         }
         let estimate = self.estimate(entry.organisation);
         let soonest = now + Span::from_micros(estimate.as_micros() / ESTIMATE_DIVISOR);
-        if soonest + self.limits.least > entry.deadline {
+        if soonest + self.limits.min_runtime > entry.deadline {
             return Some(GivenUp::new(entry, Code::Deadline, estimate.max(RETRY_MIN)));
         }
-        let pushed_out = match self.len >= self.limits.length {
+        let pushed_out = match self.len >= self.limits.max_waiting {
             true => match self.longest(entry.organisation) {
                 Some(longest) => self.take_newest(longest),
                 None => return Some(self.overloaded(entry)),
@@ -132,7 +132,7 @@
         now: Instant,
         mut ready: impl FnMut(VersionId) -> bool,
     ) -> Option<Entry> {
-        let latest = now + self.limits.least;
+        let latest = now + self.limits.min_runtime;
         let found = self.fair_order().into_iter().find_map(|organisation| {
             let lane = self.lanes.get(&organisation)?;
             let fits = |entry: &Entry| entry.deadline >= latest && ready(entry.version);
@@ -141,7 +141,7 @@
         let (organisation, at) = found?;
         let entry = self.take(organisation, at)?;
         let lane = self.lanes.get_mut(&organisation).expect("take keeps the lane");
-        lane.counter = lane.counter.max(self.floor.saturating_sub(self.limits.credit));
+        lane.counter = lane.counter.max(self.floor.saturating_sub(self.limits.max_lag));
         self.floor = self.floor.max(lane.counter);
         lane.counter += entry.tokens;
         lane.running += 1;
@@ -153,7 +153,7 @@
 
     /// Counts `count` more tokens of a running request. What goes beyond the
     /// expectation is charged now, not only at the end.
-    pub fn tokens(&mut self, request: RequestId, count: u64) {
+    pub fn add_tokens(&mut self, request: RequestId, count: u64) {
         let Some(running) = self.running.get_mut(&request) else { return };
         running.used += count;
         let excess = running.used.saturating_sub(running.charged);
@@ -238,7 +238,7 @@
     pub fn next_expiry(&self) -> Option<Instant> {
         let entries = self.lanes.values().flat_map(|lane| &lane.waiting);
         let first = entries.map(|entry| entry.deadline).min()?;
-        Some(first - self.limits.least + Span::from_micros(1))
+        Some(first - self.limits.min_runtime + Span::from_micros(1))
     }
 
     /// Tokens charged to an organisation beyond the least it can have.
@@ -265,7 +265,7 @@
         self.lanes.values().flat_map(move |lane| {
             lane.waiting.iter().enumerate().filter_map(move |(at, entry)| {
                 let soonest = now + self.soonest(at, lanes);
-                (soonest + self.limits.least > entry.deadline).then_some(entry.request)
+                (soonest + self.limits.min_runtime > entry.deadline).then_some(entry.request)
             })
         })
     }
--- a/kingcupbay_core/src/route/mod.rs
+++ b/kingcupbay_core/src/route/mod.rs
@@ -20,6 +20,6 @@
 
 pub use self::{
     peer::{InFlight, Report},
-    retry::{Progress, Retry, RetryBudget, Work},
+    retry::{Progress, Retry, RetryBudget, WorkKind},
     router::{Limits, Router},
 };
--- a/kingcupbay_core/src/route/retry.rs
+++ b/kingcupbay_core/src/route/retry.rs
@@ -12,7 +12,7 @@
 
 /// Kind of work, as far as repeating it goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Work {
+pub enum WorkKind {
     /// Generation: repeating it costs time only.
     Generate,
     /// A call that may be repeated.
@@ -67,7 +67,7 @@
 
 impl RetryBudget {
     /// Notes the first attempt of a request.
-    pub fn first(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.level = (self.level + EARNED).min(SAVED * PRICE);
     }
 
@@ -75,15 +75,17 @@
     ///
     /// A once-only call is never tried again, also when it was refused as not
     /// run: its claim names the attempt, and the caller repeats it by key.
-    pub fn retry(&mut self, work: Work, progress: Progress) -> Retry {
+    pub fn retry(&mut self, work: WorkKind, progress: Progress) -> Retry {
         let retry = match (work, progress) {
-            (Work::Once, _) => return Retry::Never,
+            (WorkKind::Once, _) => return Retry::Never,
             (_, Progress::NotRun | Progress::Sent) => Retry::Again,
             // An answer that has begun is resumed whatever the budget: when a
             // zone goes, its streams break all at once, and there are never
             // more resumptions than there were streams.
-            (Work::Generate, Progress::Streaming { offset }) => return Retry::Resume { offset },
-            (Work::Call, Progress::Streaming { .. }) => return Retry::Never,
+            (WorkKind::Generate, Progress::Streaming { offset }) => {
+                return Retry::Resume { offset };
+            }
+            (WorkKind::Call, Progress::Streaming { .. }) => return Retry::Never,
         };
         match self.level.checked_sub(PRICE) {
             Some(level) => {
--- a/kingcupbay_core/src/route/router.rs
+++ b/kingcupbay_core/src/route/router.rs
@@ -23,16 +23,16 @@
 pub struct Limits {
     /// Load above the mean, as a factor, from which an upstream is passed over
     /// unless it has places free.
-    pub bound: f64,
+    pub load_ratio: f64,
     /// Requests on top of `bound`; with little load a factor says nothing.
-    pub slack: u32,
+    pub load_slack: u32,
     /// How long a load that was caused may go without being reported.
-    pub expect: Span,
+    pub load_timeout: Span,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { bound: 1.25, slack: 1, expect: Span::from_secs(3) }
+        Limits { load_ratio: 1.25, load_slack: 1, load_timeout: Span::from_secs(3) }
     }
 }
 
@@ -141,7 +141,7 @@
                 best => picked.or(best)?,
             },
         };
-        self.holders.expect(version, place, now + self.limits.expect);
+        self.holders.expect(version, place, now + self.limits.load_timeout);
         Some(self.peer(place)?.id)
     }
 
@@ -210,7 +210,7 @@
         let loads = peers.filter(|peer| peer.is_usable()).map(|peer| u64::from(peer.load()));
         let (count, sum) = loads.fold((0u64, 0u64), |(count, sum), load| (count + 1, sum + load));
         let mean = sum as f64 / count.max(1) as f64;
-        let bound = (mean * self.limits.bound) as u32 + self.limits.slack;
+        let bound = (mean * self.limits.load_ratio) as u32 + self.limits.load_slack;
         let group = self.bases.get_mut(base).expect("the group was found above");
         group.bound = bound;
         group.bounded = Some(now);
--- a/kingcupbay_core/src/slot/mod.rs
+++ b/kingcupbay_core/src/slot/mod.rs
@@ -65,7 +65,7 @@
         request: RequestId,
     },
     /// Ask the engine for a report.
-    Ask,
+    RequestReport,
 }
 
 /// How an order ended.
--- a/kingcupbay_core/src/slot/report.rs
+++ b/kingcupbay_core/src/slot/report.rs
@@ -52,7 +52,7 @@
         loaded: bool,
     ) -> Option<Action> {
         if self.incarnation != Some(incarnation) {
-            return Some(Action::Ask);
+            return Some(Action::RequestReport);
         }
         if seq <= self.event {
             return None;
@@ -60,7 +60,7 @@
         let gap = seq != self.event + 1;
         self.event = seq;
         let fits = self.places.contains_key(&version) == loaded;
-        (gap || !fits).then_some(Action::Ask)
+        (gap || !fits).then_some(Action::RequestReport)
     }
 
     /// Takes the engine's incarnation from any answer of it. A new one means
--- a/kingcupbay_core/src/slot/table.rs
+++ b/kingcupbay_core/src/slot/table.rs
@@ -28,15 +28,19 @@
     pub half_life: Span,
     /// Longest wait for a load while every slot is pinned. After it one slot
     /// takes no new requests, so that its pins run out.
-    pub patience: Span,
+    pub max_wait: Span,
     /// Loads of the budget that are left alone by loads nobody waits for; they
     /// make the weight store slower for those somebody waits for.
-    pub reserve: u32,
+    pub prefetch_reserve: u32,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { half_life: Span::from_secs(60), patience: Span::from_millis(1_000), reserve: 6 }
+        Limits {
+            half_life: Span::from_secs(60),
+            max_wait: Span::from_millis(1_000),
+            prefetch_reserve: 6,
+        }
     }
 }
 
@@ -201,7 +205,7 @@
                 freeing -= 1;
             } else if let Some(action) = self.evict(now, waits) {
                 actions.push(action);
-            } else if now.since(want.oldest) > self.limits.patience {
+            } else if now.since(want.oldest) > self.limits.max_wait {
                 self.drain_one(now);
             }
         }
@@ -397,7 +401,7 @@
 
     /// Fills empty slots with the versions asked for most, as after a restart.
     fn prefetch(&mut self, now: Instant, left: u32, actions: &mut Vec<Action>) {
-        let spare = left.saturating_sub(self.limits.reserve);
+        let spare = left.saturating_sub(self.limits.prefetch_reserve);
         for _ in 0..spare {
             let Some(at) = self.empty_slot() else { return };
             let absent = |&(version, _): &(VersionId, f64)| {
@@ -440,7 +444,7 @@
     fn unknown(&mut self, now: Instant, at: usize) -> Vec<Action> {
         self.slots[at].unsure = true;
         self.slots[at].changed = now;
-        vec![Action::Ask]
+        vec![Action::RequestReport]
     }
 
     pub(super) fn next_order(&mut self) -> Order {
--- a/kingcupbay_core/tests/golden_serve.rs
+++ b/kingcupbay_core/tests/golden_serve.rs
@@ -14,7 +14,7 @@
     },
     id::{Id, Name, OrganisationId, RequestId, UpstreamId, VersionId},
     queue::{self, Entry, GivenUp, Queue},
-    route::{self, InFlight, Progress, Report, Retry, RetryBudget, Router, Work},
+    route::{self, InFlight, Progress, Report, Retry, RetryBudget, Router, WorkKind},
     slot::{self, Action, EngineReport, Outcome, Pin, Slots},
     time::{Instant, Span},
     wire::error::Code,
@@ -70,7 +70,7 @@
         let mut router = Router::new(route::Limits::default(), 1);
         router.on_config(&config);
         let side = |_| {
-            let limits = slot::Limits { reserve: 0, ..slot::Limits::default() };
+            let limits = slot::Limits { prefetch_reserve: 0, ..slot::Limits::default() };
             let mut slots = Slots::new(limits, 2, 7);
             slots.on_incarnation(Instant::default(), 1);
             let queue = Queue::new(queue::Limits::default());
@@ -96,7 +96,7 @@
     fn request(&mut self, millis: u64, request: u8, organisation: u32, version: u32) {
         let what = format!("request {request} of organisation {organisation}");
         self.event(millis, &format!("{what} for version {version}"));
-        self.retries.first();
+        self.retries.record_first_attempt();
         let entry = Entry {
             request: id(request),
             organisation: OrganisationId::from_raw(organisation),
@@ -221,7 +221,7 @@
     }
 
     fn again(&mut self, entry: Entry, failed: UpstreamId, progress: Progress) {
-        let retry = self.retries.retry(Work::Generate, progress);
+        let retry = self.retries.retry(WorkKind::Generate, progress);
         self.action(&format!("request {}: {retry:?}", number(entry.request)));
         match retry {
             Retry::Again | Retry::Resume { .. } => self.route(entry, &[failed]),
@@ -367,7 +367,7 @@
 #[test]
 fn a_full_queue() {
     let mut session = Session::new();
-    let limits = queue::Limits { length: 3, ..queue::Limits::default() };
+    let limits = queue::Limits { max_waiting: 3, ..queue::Limits::default() };
     session.sides.iter_mut().for_each(|side| side.queue = Queue::new(limits));
     session.sides.truncate(1);
     (1..3).for_each(|raw| session.router.set_reachable(UpstreamId::from_raw(raw), false));
--- a/kingcupbay_core/tests/queue.rs
+++ b/kingcupbay_core/tests/queue.rs
@@ -12,7 +12,7 @@
 };
 use quickcheck::{Arbitrary, Gen};
 
-const LIMITS: Limits = Limits { length: 8, least: Span::from_millis(50), credit: 500 };
+const LIMITS: Limits = Limits { max_waiting: 8, min_runtime: Span::from_millis(50), max_lag: 500 };
 
 fn at(millis: u64) -> Instant {
     Instant::from_micros(millis * 1_000)
@@ -47,7 +47,7 @@
 /// guests of organisation 2 would wait behind all of it in a plain queue.
 #[test]
 fn the_smaller_organisation_is_served_in_turn() {
-    let mut queue = Queue::new(Limits { length: 100, ..LIMITS });
+    let mut queue = Queue::new(Limits { max_waiting: 100, ..LIMITS });
     for number in 0..50 {
         assert_eq!(queue.push(at(0), entry(number, 1, 100, at(0))), None);
     }
@@ -68,8 +68,8 @@
     queue.push(at(0), entry(2, 1, 1_000, at(0)));
     queue.start_next(at(0), |_| true).unwrap();
     assert_eq!(queue.counter(organisation(1)), 1_000);
-    queue.tokens(id(1), 900);
-    queue.tokens(id(1), 300);
+    queue.add_tokens(id(1), 900);
+    queue.add_tokens(id(1), 300);
     assert_eq!(queue.counter(organisation(1)), 1_200);
     queue.finish(id(1), 250);
     queue.finish(id(1), 250);
@@ -81,7 +81,7 @@
 /// earned credit, everybody else would stand still until it was used up.
 #[test]
 fn idle_time_earns_no_credit() {
-    let mut queue = Queue::new(Limits { length: 100, ..LIMITS });
+    let mut queue = Queue::new(Limits { max_waiting: 100, ..LIMITS });
     for number in 0..20 {
         queue.push(at(0), entry(number, 1, 100, at(0)));
     }
@@ -100,7 +100,7 @@
 /// Its lag is bounded, or it would then hold every place for as long.
 #[test]
 fn a_lane_held_up_by_loads_catches_up_within_its_credit() {
-    let mut queue = Queue::new(Limits { length: 200, ..LIMITS });
+    let mut queue = Queue::new(Limits { max_waiting: 200, ..LIMITS });
     for number in 0..50 {
         queue.push(at(0), entry(number, 1, 100, at(0)));
         queue.push(at(0), entry(100 + number, 2, 100, at(0)));
@@ -147,7 +147,7 @@
 /// next one has ten seconds: holding it until then only delays its refusal.
 #[test]
 fn a_wait_longer_than_the_deadline_is_foreseen() {
-    let mut queue = Queue::new(Limits { length: 100, ..LIMITS });
+    let mut queue = Queue::new(Limits { max_waiting: 100, ..LIMITS });
     for number in 0..30 {
         queue.push(at(0), entry(number, 1, 10, at(0)));
     }
@@ -166,7 +166,7 @@
 /// elsewhere in time, but only if it is told before the deadline has come.
 #[test]
 fn a_wait_that_grows_beyond_the_deadline_is_answered_early() {
-    let mut queue = Queue::new(Limits { length: 100, ..LIMITS });
+    let mut queue = Queue::new(Limits { max_waiting: 100, ..LIMITS });
     for number in 0..20 {
         let entry = Entry { deadline: at(40_000), ..entry(number, 1, 10, at(0)) };
         assert_eq!(queue.push(at(0), entry), None);
--- a/kingcupbay_core/tests/route.rs
+++ b/kingcupbay_core/tests/route.rs
@@ -10,7 +10,7 @@
         model::{Config, Serves, Upstream},
     },
     id::{Id, Name, UpstreamId, VersionId},
-    route::{Limits, Progress, Report, Retry, RetryBudget, Router, Work},
+    route::{Limits, Progress, Report, Retry, RetryBudget, Router, WorkKind},
     time::{Instant, Span},
 };
 
@@ -282,21 +282,21 @@
 #[test]
 fn retries_are_bounded_and_never_repeat_what_must_not_run_twice() {
     let mut budget = RetryBudget::default();
-    assert_eq!(budget.retry(Work::Once, Progress::NotRun), Retry::Never);
-    assert_eq!(budget.retry(Work::Once, Progress::Sent), Retry::Never);
+    assert_eq!(budget.retry(WorkKind::Once, Progress::NotRun), Retry::Never);
+    assert_eq!(budget.retry(WorkKind::Once, Progress::Sent), Retry::Never);
     let streaming = Progress::Streaming { offset: 12 };
-    assert_eq!(budget.retry(Work::Generate, streaming), Retry::Resume { offset: 12 });
-    assert_eq!(budget.retry(Work::Call, streaming), Retry::Never);
+    assert_eq!(budget.retry(WorkKind::Generate, streaming), Retry::Resume { offset: 12 });
+    assert_eq!(budget.retry(WorkKind::Call, streaming), Retry::Never);
     let granted = |budget: &mut RetryBudget, tries: u32| {
         let again = (0..tries).filter(|_| {
-            budget.first();
-            budget.retry(Work::Generate, Progress::Sent) == Retry::Again
+            budget.record_first_attempt();
+            budget.retry(WorkKind::Generate, Progress::Sent) == Retry::Again
         });
         again.count()
     };
     assert!(granted(&mut budget, 100) <= 40);
     assert!((90..=110).contains(&granted(&mut budget, 1_000)), "a tenth of the requests");
-    assert_eq!(Limits::default().expect, Span::from_secs(3));
+    assert_eq!(Limits::default().load_timeout, Span::from_secs(3));
 }
 
 /// A zone goes and with it every stream there, all in one moment. The budget
@@ -307,6 +307,6 @@
     let mut budget = RetryBudget::default();
     let streaming = Progress::Streaming { offset: 12 };
     let resume = Retry::Resume { offset: 12 };
-    assert!((0..500).all(|_| budget.retry(Work::Generate, streaming) == resume));
-    assert_eq!(budget.retry(Work::Generate, Progress::Sent), Retry::Again);
+    assert!((0..500).all(|_| budget.retry(WorkKind::Generate, streaming) == resume));
+    assert_eq!(budget.retry(WorkKind::Generate, Progress::Sent), Retry::Again);
 }
--- a/kingcupbay_core/tests/slot.rs
+++ b/kingcupbay_core/tests/slot.rs
@@ -185,8 +185,8 @@
     assert!(!slots.is_ready(v(3)) && !slots.is_ready(v(1)));
     // Nobody waits, so the version asked for most is loaded ahead, unless the
     // rest of the budget is needed for those somebody waits for.
-    assert_eq!(slots.plan(at(30), &[], Limits::default().reserve), []);
-    let planned = slots.plan(at(30), &[], Limits::default().reserve + 2);
+    assert_eq!(slots.plan(at(30), &[], Limits::default().prefetch_reserve), []);
+    let planned = slots.plan(at(30), &[], Limits::default().prefetch_reserve + 2);
     assert!(matches!(planned[..], [Action::Load { version, .. }] if version == v(1)));
 }
 
@@ -221,7 +221,7 @@
         let mut slots = slots(1);
         let planned = slots.plan(at(0), &[wait(1, 1, 0)], 1);
         let sent = order(planned[0]);
-        assert_eq!(slots.on_load(at(900), sent, Outcome::Unknown), [Action::Ask]);
+        assert_eq!(slots.on_load(at(900), sent, Outcome::Unknown), [Action::RequestReport]);
         assert_eq!(slots.on_load(at(901), sent, Outcome::Done), [], "one order, one answer");
         slots.on_report(at(950), &report(1, 100, &there));
         assert_eq!(slots.view()[0].state, SlotState::Loading, "the report is too old");
@@ -238,10 +238,14 @@
     slots.on_report(at(0), &report(1, 0, &[]));
     load(&mut slots, 1, &[1]);
     assert_eq!(slots.on_event(1, 1, v(1), true), None);
-    assert_eq!(slots.on_event(1, 3, v(1), true), Some(Action::Ask), "a gap");
+    assert_eq!(slots.on_event(1, 3, v(1), true), Some(Action::RequestReport), "a gap");
     assert_eq!(slots.on_event(1, 2, v(1), false), None, "an old one");
-    assert_eq!(slots.on_event(1, 4, v(1), false), Some(Action::Ask), "it does not fit");
-    assert_eq!(slots.on_event(2, 1, v(1), true), Some(Action::Ask), "another incarnation");
+    assert_eq!(slots.on_event(1, 4, v(1), false), Some(Action::RequestReport), "it does not fit");
+    assert_eq!(
+        slots.on_event(2, 1, v(1), true),
+        Some(Action::RequestReport),
+        "another incarnation"
+    );
     assert!(slots.is_ready(v(1)));
 }
 
--- a/kingcupbayd/src/entry/relay.rs
+++ b/kingcupbayd/src/entry/relay.rs
@@ -11,7 +11,7 @@
 use futures_util::{Stream, StreamExt, TryStreamExt};
 use kingcupbay_core::{
     id::{Name, RequestId, UpstreamId, VersionId},
-    route::{InFlight, Progress, Work as Kind},
+    route::{InFlight, Progress, WorkKind as Kind},
     time::{Instant, Span},
     wire::{
         engine::Usage,
--- a/kingcupbayd/src/entry/route.rs
+++ b/kingcupbayd/src/entry/route.rs
@@ -11,7 +11,7 @@
 use kingcupbay_core::{
     gossip::record::Topic,
     id::{MemberId, Name, Number, UpstreamId, VersionId},
-    route::{InFlight, Limits, Progress, Report, Retry, RetryBudget, Router, Work},
+    route::{InFlight, Limits, Progress, Report, Retry, RetryBudget, Router, WorkKind},
     time::{Instant, Span},
 };
 
@@ -136,11 +136,11 @@
 
     /// Notes the first attempt of a request.
     pub(crate) fn first_attempt(&self) {
-        self.budget.borrow_mut().first();
+        self.budget.borrow_mut().record_first_attempt();
     }
 
     /// Whether another attempt may follow a failed one.
-    pub(crate) fn may_retry(&self, work: Work, progress: Progress) -> bool {
+    pub(crate) fn may_retry(&self, work: WorkKind, progress: Progress) -> bool {
         let retry = self.budget.borrow_mut().retry(work, progress);
         matches!(retry, Retry::Again | Retry::Resume { .. })
     }
--- a/kingcupbayd/src/upstream/runner/mod.rs
+++ b/kingcupbayd/src/upstream/runner/mod.rs
@@ -84,7 +84,7 @@
     /// An engine that nothing is known of; starts the task that tends it.
     pub(crate) fn start(upstream: Rc<Upstream>, row: Row) -> Rc<Runner> {
         let length = upstream.settings.tuning.queue as usize;
-        let limits = queue::Limits { length, ..queue::Limits::default() };
+        let limits = queue::Limits { max_waiting: length, ..queue::Limits::default() };
         let runner = Rc::new_cyclic(|me| Runner {
             upstream,
             row,
@@ -256,7 +256,7 @@
 
     /// Asks the engine what it holds, because an answer of it did not fit.
     pub(crate) fn ask(&self) {
-        self.send_order(slot::Action::Ask);
+        self.send_order(slot::Action::RequestReport);
     }
 
     /// Closes slots of versions that the configuration no longer has.
@@ -359,7 +359,7 @@
     /// Counts tokens that the engine has used on this request.
     pub(crate) fn on_tokens(&self, count: u64) {
         self.used.set(self.used.get() + count);
-        self.runner.state.borrow_mut().queue.tokens(self.request, count);
+        self.runner.state.borrow_mut().queue.add_tokens(self.request, count);
     }
 
     /// Ends when the engine has lost the adapter, as after a restart.
--- a/kingcupbayd/src/upstream/runner/orders.rs
+++ b/kingcupbayd/src/upstream/runner/orders.rs
@@ -40,7 +40,7 @@
             let outcome = unload(runner, version, order.fencing).await;
             with_slots(runner, |slots| slots.on_unload(clock::now(), order, outcome))
         }
-        Action::Ask => ask(runner).await,
+        Action::RequestReport => ask(runner).await,
         Action::Failed { .. } | Action::Lost { .. } => Vec::new(),
     }
 }
