--- a/kingcupbay_core/src/slot/backoff.rs
+++ b/kingcupbay_core/src/slot/backoff.rs
@@ -1,4 +1,4 @@
-//! When a version whose load failed may be tried again.
+//! Exponential backoff after failed loads.
 
 use std::collections::BTreeMap;
 
@@ -7,41 +7,43 @@
     time::{Instant, Span},
 };
 
-/// Wait after the first failure: one load's time.
-const FIRST: Span = Span::from_millis(250);
+/// Wait after the first failure: the duration of one load.
+const FIRST_WAIT: Span = Span::from_millis(250);
 
-/// Doublings after which the wait stays the same: 16 s.
-const DOUBLINGS: u32 = 6;
+/// Doublings after which the wait stays the same, at 16 s.
+const MAX_DOUBLINGS: u32 = 6;
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     failures: u32,
+    /// When the version may be loaded again.
     until: Instant,
 }
 
-/// Failed loads by version; a success forgets.
+/// Consecutive failed loads by version; a successful load removes the entry.
 #[derive(Debug, Default)]
 pub(super) struct Backoff {
     entries: BTreeMap<VersionId, Entry>,
 }
 
 impl Backoff {
-    /// Notes a failure and gives the wait until the next try.
-    pub(super) fn failed(&mut self, now: Instant, version: VersionId) -> Span {
+    /// Records a failed load and returns the wait until the next attempt.
+    pub(super) fn record_failure(&mut self, now: Instant, version: VersionId) -> Span {
         let failures = self.entries.get(&version).map_or(0, |entry| entry.failures);
-        let wait = Span::from_micros(FIRST.as_micros() << failures.min(DOUBLINGS));
+        let wait = Span::from_micros(FIRST_WAIT.as_micros() << failures.min(MAX_DOUBLINGS));
         let entry = Entry { failures: failures.saturating_add(1), until: now + wait };
         self.entries.insert(version, entry);
         wait
     }
 
-    pub(super) fn succeeded(&mut self, version: VersionId) {
+    /// Removes the backoff of `version` after a successful load.
+    pub(super) fn reset(&mut self, version: VersionId) {
         self.entries.remove(&version);
     }
 
-    /// Time left until `version` may be tried, if it may not be now.
-    pub(super) fn left(&self, now: Instant, version: VersionId) -> Option<Span> {
-        let left = self.entries.get(&version)?.until.since(now);
-        (left > Span::ZERO).then_some(left)
+    /// Returns the time until `version` may be loaded again, or `None` if it may be now.
+    pub(super) fn remaining(&self, now: Instant, version: VersionId) -> Option<Span> {
+        let remaining = self.entries.get(&version)?.until.since(now);
+        (remaining > Span::ZERO).then_some(remaining)
     }
 }
--- a/kingcupbay_core/src/slot/mod.rs
+++ b/kingcupbay_core/src/slot/mod.rs
@@ -1,17 +1,18 @@
-//! Adapter slots of one engine: pins, loads, eviction.
+//! Adapter slots of one engine: pins, loads and eviction.
 //!
-//! One daemon owns the slots of an engine, so nothing here is agreed with
-//! anybody. [`Slots::plan`] turns the versions that requests wait for into
-//! orders; [`Slots::pin`] ties a running request to its slot. An order to
-//! unload is made only from a [`pin`] residency that nobody shares, so a
-//! version that serves a request cannot be named in one.
+//! One daemon owns the slots of an engine, so no coordination with other
+//! daemons is needed. [`Slots::plan`] turns the versions that requests wait
+//! for into orders; [`Slots::pin`] keeps the version of a running request
+//! loaded. An unload order consumes the residency (see [`pin`]) and is
+//! possible only while no request shares it, so a version in use is never
+//! unloaded.
 //!
-//! What the engine says comes late: answers are matched to orders by their
-//! sequence, reports lose against orders given since, and cache events only
-//! make the daemon ask for a report.
+//! The engine's messages may arrive late: answers are matched to orders by
+//! sequence number, a report is ignored for slots with a more recent order,
+//! and a cache event only makes the daemon request a report.
 
 mod backoff;
-pub(crate) mod heat;
+pub(crate) mod decay;
 mod pin;
 mod report;
 mod table;
@@ -26,16 +27,17 @@
     time::Span,
 };
 
-/// Identity of one order to the engine.
+/// Identifies one order to the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Order {
-    /// Fencing number of the daemon that orders.
+    /// Fencing number of the daemon that sends the order.
     pub fencing: u64,
-    /// Counts the orders under this number; an answer names it.
+    /// Sequence number of the order under this fencing number, repeated in the
+    /// answer.
     pub seq: u64,
 }
 
-/// What the shell is to do.
+/// An effect that the caller carries out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Order the engine to load a version.
@@ -52,31 +54,31 @@
         /// Identity of the order.
         order: Order,
     },
-    /// Tell all who wait for a version that its load failed.
+    /// Fail every request that waits for a version whose load failed.
     Failed {
         /// The version.
         version: VersionId,
-        /// When another load may be tried.
+        /// Time until another load may be attempted.
         retry_after: Span,
     },
-    /// Tell a running request that the engine lost its version.
+    /// Notify a running request that its version is no longer loaded.
     Lost {
         /// The request.
         request: RequestId,
     },
-    /// Ask the engine for a report.
+    /// Request a report from the engine.
     RequestReport,
 }
 
-/// How an order ended.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It was carried out.
     Done,
     /// The engine refused or failed; nothing changed.
     Failed,
-    /// No answer came: only a report tells.
+    /// No answer arrived; the next report shows what happened.
     Unknown,
-    /// The engine knows a newer fencing number: another daemon owns it.
+    /// The engine has seen a newer fencing number: another daemon owns it.
     Fenced,
 }
--- a/kingcupbay_core/src/slot/pin.rs
+++ b/kingcupbay_core/src/slot/pin.rs
@@ -1,15 +1,15 @@
-//! A loaded version, and the guard that keeps it loaded.
+//! Residency of a loaded version, and the guard that keeps it loaded.
 
 use std::{cell::RefCell, collections::BTreeSet, rc::Rc};
 
 use crate::id::{RequestId, VersionId};
 
-/// Proof that a version is loaded. It is not `Clone`; whoever owns one, and
-/// not merely a shared reference, knows that no request runs on it.
+/// Represents a loaded version. It is not `Clone`, so unwrapping its only `Rc`
+/// proves that no request uses the version.
 #[derive(Debug)]
 pub(super) struct Residency {
     version: VersionId,
-    /// The requests that run on it. Invariant: one per [`Pin`].
+    /// Requests that use the version. Invariant: exactly one per [`Pin`].
     requests: RefCell<BTreeSet<RequestId>>,
 }
 
@@ -35,18 +35,19 @@
 }
 
 impl Pin {
-    /// Pins `residency`, unless the request holds it already.
+    /// Pins `residency` for `request`, or returns `None` if `request` already
+    /// holds a pin on it.
     pub(super) fn new(residency: &Rc<Residency>, request: RequestId) -> Option<Pin> {
         let added = residency.requests.borrow_mut().insert(request);
         added.then(|| Pin { residency: residency.clone(), request })
     }
 
-    /// The version that is kept.
+    /// Returns the pinned version.
     pub fn version(&self) -> VersionId {
         self.residency.version
     }
 
-    /// The request it is kept for.
+    /// Returns the request that holds the pin.
     pub fn request(&self) -> RequestId {
         self.request
     }
--- a/kingcupbay_core/src/slot/table.rs
+++ b/kingcupbay_core/src/slot/table.rs
@@ -1,11 +1,11 @@
-//! The slots themselves: what is loaded, and the orders that change it.
+//! The slot table: which versions are loaded, and the orders that change it.
 
 use std::{collections::BTreeMap, rc::Rc};
 
 use super::{
     Action, Order, Outcome,
     backoff::Backoff,
-    heat::Heats,
+    decay::DecayingCounts,
     pin::{Pin, Residency},
 };
 use crate::{
@@ -14,23 +14,23 @@
     time::{Instant, Span},
 };
 
-/// Time in which a load counts half against the organisation that caused it.
-const LOADERS_HALF_LIFE: Span = Span::from_secs(10);
+/// Half-life of the count of loads that an organisation caused.
+const LOAD_COUNT_HALF_LIFE: Span = Span::from_secs(10);
 
-/// Time of a load at full speed. It is added to each wait, so that many new
-/// requests count as well as few old ones.
-const LOAD: Span = Span::from_millis(250);
+/// Duration of a load at full speed. Added to each wait so that a version with
+/// many new requests also gets priority over one with few older ones.
+const LOAD_TIME: Span = Span::from_millis(250);
 
 /// Parameters of [`Slots`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Time in which a use counts half for the choice of a victim.
+    /// Half-life of the use counts by which the version to evict is chosen.
     pub half_life: Span,
-    /// Longest wait for a load while every slot is pinned. After it one slot
-    /// takes no new requests, so that its pins run out.
+    /// Maximum wait for a load while no slot can be evicted. After that one slot
+    /// accepts no new requests, so that it becomes unpinned.
     pub max_wait: Span,
-    /// Loads of the budget that are left alone by loads nobody waits for; they
-    /// make the weight store slower for those somebody waits for.
+    /// Number of loads in the budget that prefetching leaves unused, because
+    /// each load slows down the weight store for loads that requests wait for.
     pub prefetch_reserve: u32,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// What a slot holds.
+/// The content of a slot.
 #[derive(Debug)]
 pub(super) enum State {
     Empty,
@@ -57,13 +57,14 @@
 #[derive(Debug)]
 pub(super) struct Slot {
     pub(super) state: State,
-    /// The order in flight, or the last one.
+    /// Sequence number of the order in flight, or of the last one.
     pub(super) order: u64,
-    /// When an order was last given or answered; older reports are ignored.
+    /// When the slot last changed, by an order, its answer or a report; older
+    /// reports are ignored.
     pub(super) changed: Instant,
-    /// The order's answer was lost: the next report decides.
-    pub(super) unsure: bool,
-    /// Takes no new requests, so that it can be emptied.
+    /// The outcome of the order is unknown; the next report decides it.
+    pub(super) unconfirmed: bool,
+    /// Accepts no new requests, so that the slot can be emptied.
     pub(super) draining: bool,
 }
 
@@ -73,15 +74,16 @@
             state: State::Empty,
             order: 0,
             changed: Instant::default(),
-            unsure: false,
+            unconfirmed: false,
             draining: false,
         }
     }
 
+    /// Sets the state and clears the flags.
     pub(super) fn set(&mut self, now: Instant, state: State) {
         self.state = state;
         self.changed = now;
-        self.unsure = false;
+        self.unconfirmed = false;
         self.draining = false;
     }
 
@@ -98,27 +100,27 @@
     }
 }
 
-/// State of a slot, for dumps.
+/// The state of a slot, for dumps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotState {
-    /// Nothing in it.
+    /// No version.
     Empty,
-    /// A load is ordered.
+    /// A load has been ordered.
     Loading,
-    /// Requests may run.
+    /// The version is loaded and requests may run on it.
     Loaded,
-    /// An unload is ordered.
+    /// An unload has been ordered.
     Unloading,
 }
 
-/// A slot as dumps show it.
+/// A snapshot of a slot, for dumps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotView {
-    /// Its state.
+    /// State of the slot.
     pub state: SlotState,
-    /// The version in it.
+    /// The version loaded, loading or unloading.
     pub version: Option<VersionId>,
-    /// Requests that run on it.
+    /// Number of requests that run on it.
     pub pins: u32,
 }
 
@@ -126,122 +128,126 @@
 #[derive(Debug)]
 pub struct Slots {
     pub(super) limits: Limits,
-    /// Number under which this daemon orders.
+    /// Fencing number that this daemon sends with its orders.
     fencing: u64,
-    /// Orders given so far.
+    /// Number of orders sent so far.
     seq: u64,
     pub(super) slots: Vec<Slot>,
-    /// Invariant: names exactly the slots that are not empty.
-    pub(super) places: BTreeMap<VersionId, usize>,
-    /// Versions unloaded and when, until a report is younger.
-    pub(super) gone: BTreeMap<VersionId, Instant>,
-    heats: Heats<VersionId>,
-    /// Loads that each organisation's requests caused lately.
-    loaders: Heats<OrganisationId>,
+    /// Slot position by version. Invariant: lists exactly the slots that are not
+    /// empty.
+    pub(super) positions: BTreeMap<VersionId, usize>,
+    /// Versions removed from a slot and when, until a newer report arrives.
+    pub(super) unloaded: BTreeMap<VersionId, Instant>,
+    use_counts: DecayingCounts<VersionId>,
+    /// Recent loads caused by each organisation's requests.
+    load_counts: DecayingCounts<OrganisationId>,
     backoff: Backoff,
-    /// The engine's incarnation, once a report has told it.
+    /// The engine's incarnation, once known.
     pub(super) incarnation: Option<u64>,
-    /// The youngest report taken.
+    /// [`EngineReport::as_of`](super::EngineReport::as_of) of the last report applied.
     pub(super) reported: Instant,
-    /// The last cache event taken.
-    pub(super) event: u64,
-    /// Another daemon owns the engine: no order is given any more.
+    /// Sequence number of the last cache event.
+    pub(super) last_event: u64,
+    /// Another daemon owns the engine; [`Slots::plan`] returns no more orders.
     fenced: bool,
 }
 
 impl Slots {
-    /// `count` empty slots of an engine, ordered about under `fencing`.
+    /// Creates `count` empty slots of an engine; `fencing` is the fencing number
+    /// of the orders.
     pub fn new(limits: Limits, count: u32, fencing: u64) -> Slots {
         Slots {
             limits,
             fencing,
             seq: 0,
             slots: (0..count).map(|_| Slot::empty()).collect(),
-            places: BTreeMap::new(),
-            gone: BTreeMap::new(),
-            heats: Heats::new(limits.half_life),
-            loaders: Heats::new(LOADERS_HALF_LIFE),
+            positions: BTreeMap::new(),
+            unloaded: BTreeMap::new(),
+            use_counts: DecayingCounts::new(limits.half_life),
+            load_counts: DecayingCounts::new(LOAD_COUNT_HALF_LIFE),
             backoff: Backoff::default(),
             incarnation: None,
             reported: Instant::default(),
-            event: 0,
+            last_event: 0,
             fenced: false,
         }
     }
 
-    /// Notes that a request asks for `version`.
+    /// Records that a request uses `version`.
     pub fn touch(&mut self, now: Instant, version: VersionId) {
-        self.heats.touch(now, version);
+        self.use_counts.add(now, version);
     }
 
-    /// Keeps `version` loaded for `request`; `None` unless it is loaded.
+    /// Keeps `version` loaded for `request`. Returns `None` if the version is not
+    /// loaded or `request` already holds a pin on it.
     pub fn pin(&mut self, version: VersionId, request: RequestId) -> Option<Pin> {
-        let &at = self.places.get(&version)?;
+        let &at = self.positions.get(&version)?;
         match &self.slots[at].state {
             State::Loaded(residency) => Pin::new(residency, request),
             _ => None,
         }
     }
 
-    /// Orders what the waiting requests need, the most urgent first. At most
-    /// `budget` loads are started or made room for.
+    /// Orders the loads and unloads that the waiting requests need, the most
+    /// urgent first. At most `budget` loads are started or have a slot freed for
+    /// them. `waits` must be sorted by version.
     pub fn plan(&mut self, now: Instant, waits: &[Wait], budget: u32) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.fenced {
             return actions;
         }
-        self.empty_drained(now, &mut actions);
-        let mut freeing = self.count(|state| matches!(state, State::Unloading(_)));
+        self.unload_drained(now, &mut actions);
+        let mut freeing = self.count_slots(|state| matches!(state, State::Unloading(_)));
         let mut left = budget;
-        for want in self.wants(now, waits) {
+        for wait in self.load_candidates(now, waits) {
             if left == 0 {
                 break;
             }
             left -= 1;
-            if let Some(at) = self.empty_slot() {
-                self.loaders.touch(now, want.organisation);
-                actions.push(self.load(now, at, want.version));
+            if let Some(at) = self.find_empty_slot() {
+                self.load_counts.add(now, wait.organisation);
+                actions.push(self.order_load(now, at, wait.version));
             } else if freeing > 0 {
                 freeing -= 1;
             } else if let Some(action) = self.evict(now, waits) {
                 actions.push(action);
-            } else if now.since(want.oldest) > self.limits.max_wait {
-                self.drain_one(now);
+            } else if now.since(wait.oldest) > self.limits.max_wait {
+                self.drain_least_used(now);
             }
         }
         self.prefetch(now, left, &mut actions);
         actions
     }
 
-    /// Takes the answer to a load order. One that is not awaited any more,
-    /// because the engine restarted or a report decided, changes nothing.
+    /// Applies the answer to a load order. An answer that is no longer expected,
+    /// because the engine restarted or a report decided the outcome, is ignored.
     pub fn on_load(&mut self, now: Instant, order: Order, outcome: Outcome) -> Vec<Action> {
-        let Some((at, version)) = self.awaited(order) else { return Vec::new() };
+        let Some((at, version)) = self.pending_order(order) else { return Vec::new() };
         if !matches!(self.slots[at].state, State::Loading(_)) {
             return Vec::new();
         }
         match outcome {
-            Outcome::Done => self.loaded(now, at, version),
-            Outcome::Failed => return self.load_failed(now, at, version),
-            Outcome::Unknown => return self.unknown(now, at),
+            Outcome::Done => self.finish_load(now, at, version),
+            Outcome::Failed => return self.fail_load(now, at, version),
+            Outcome::Unknown => return self.mark_unconfirmed(now, at),
             Outcome::Fenced => {
                 self.fenced = true;
-                return self.load_failed(now, at, version);
+                return self.fail_load(now, at, version);
             }
         }
         Vec::new()
     }
 
-    /// Takes the answer to an unload order.
+    /// Applies the answer to an unload order.
     pub fn on_unload(&mut self, now: Instant, order: Order, outcome: Outcome) -> Vec<Action> {
-        let Some((at, version)) = self.awaited(order) else { return Vec::new() };
+        let Some((at, version)) = self.pending_order(order) else { return Vec::new() };
         if !matches!(self.slots[at].state, State::Unloading(_)) {
             return Vec::new();
         }
         match outcome {
-            Outcome::Done => self.clear(now, at),
-            // Ordering again at once would only be refused again.
-            Outcome::Failed | Outcome::Unknown => return self.unknown(now, at),
+            Outcome::Done => self.clear_slot(now, at),
+            // A new order sent immediately would be refused again.
+            Outcome::Failed | Outcome::Unknown => return self.mark_unconfirmed(now, at),
             Outcome::Fenced => {
                 self.fenced = true;
                 self.slots[at].set(now, State::Loaded(Residency::new(version)));
@@ -250,55 +256,59 @@
         Vec::new()
     }
 
-    /// Empties the slot of a version that the configuration dropped, as soon
-    /// as its last request ends.
+    /// Drains the slot of a version that was removed from the configuration; the
+    /// slot is emptied as soon as its last request ends.
     pub fn retire(&mut self, version: VersionId) {
-        self.heats.remove(version);
-        if let Some(&at) = self.places.get(&version) {
+        self.use_counts.remove(version);
+        if let Some(&at) = self.positions.get(&version) {
             self.slots[at].draining = true;
         }
     }
 
-    /// Whether a request for `version` may start now.
+    /// Returns whether a request for `version` may start now.
     pub fn is_ready(&self, version: VersionId) -> bool {
-        self.places.get(&version).is_some_and(|&at| {
+        self.positions.get(&version).is_some_and(|&at| {
             let slot = &self.slots[at];
             matches!(slot.state, State::Loaded(_)) && !slot.draining
         })
     }
 
-    /// Time until `version`, whose load failed, may be tried again.
+    /// Returns the time until `version`, whose load failed, may be loaded again,
+    /// or `None` if it may be now.
     pub fn backoff(&self, now: Instant, version: VersionId) -> Option<Span> {
-        self.backoff.left(now, version)
+        self.backoff.remaining(now, version)
     }
 
-    /// Loads in flight, which the budget counts.
+    /// Returns the number of loads in flight, which count against the budget.
     pub fn loading(&self) -> u32 {
-        self.count(|state| matches!(state, State::Loading(_))) as u32
+        self.count_slots(|state| matches!(state, State::Loading(_))) as u32
     }
 
-    /// The number under which this daemon orders.
+    /// Returns the fencing number that this daemon sends with its orders.
     pub fn fencing(&self) -> u64 {
         self.fencing
     }
 
-    /// Whether another daemon owns the engine.
+    /// Returns whether another daemon owns the engine.
     pub fn is_fenced(&self) -> bool {
         self.fenced
     }
 
-    /// Loaded versions in the order of their keys: the content of a report.
+    /// Returns the versions that are ready, in the order of their keys, as sent in
+    /// reports.
     pub fn loaded_versions(&self) -> Vec<VersionId> {
-        self.places.keys().copied().filter(|&version| self.is_ready(version)).collect()
+        self.positions.keys().copied().filter(|&version| self.is_ready(version)).collect()
     }
 
-    /// Every slot, for dumps.
+    /// Returns a snapshot of every slot, for dumps.
     pub fn view(&self) -> Vec<SlotView> {
         let view = |slot: &Slot| {
             let (state, pins) = match &slot.state {
                 State::Empty => (SlotState::Empty, 0),
                 State::Loading(_) => (SlotState::Loading, 0),
-                State::Loaded(kept) => (SlotState::Loaded, Rc::strong_count(kept) as u32 - 1),
+                State::Loaded(residency) => {
+                    (SlotState::Loaded, Rc::strong_count(residency) as u32 - 1)
+                }
                 State::Unloading(_) => (SlotState::Unloading, 0),
             };
             SlotView { state, version: slot.version(), pins }
@@ -306,59 +316,61 @@
         self.slots.iter().map(view).collect()
     }
 
-    /// Versions to load. The organisation that has caused the fewest loads
-    /// lately goes first, or one that sends far more than others would fill
-    /// the budget; then the version with the longest total wait.
-    fn wants(&self, now: Instant, waits: &[Wait]) -> Vec<Wait> {
+    /// Returns the versions to load, in order. The organisation with the fewest
+    /// recent loads goes first, as otherwise one that sends far more requests
+    /// than the others would use up the budget; then the version with the
+    /// longest total wait.
+    fn load_candidates(&self, now: Instant, waits: &[Wait]) -> Vec<Wait> {
         let absent = |wait: &&Wait| {
-            !self.places.contains_key(&wait.version)
-                && self.backoff.left(now, wait.version).is_none()
+            !self.positions.contains_key(&wait.version)
+                && self.backoff.remaining(now, wait.version).is_none()
         };
-        let mut wants: Vec<(f64, u64, Wait)> = waits
+        let mut candidates: Vec<(f64, u64, Wait)> = waits
             .iter()
             .filter(absent)
             .map(|wait| {
-                let age = now.since(wait.oldest) + LOAD;
+                let age = now.since(wait.oldest) + LOAD_TIME;
                 let total = age.as_micros() * u64::from(wait.count);
-                (self.loaders.value(now, wait.organisation), total, *wait)
+                (self.load_counts.value(now, wait.organisation), total, *wait)
             })
             .collect();
-        wants.sort_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
-        wants.into_iter().map(|(_, _, wait)| wait).collect()
+        candidates.sort_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
+        candidates.into_iter().map(|(_, _, wait)| wait).collect()
     }
 
-    fn load(&mut self, now: Instant, at: usize, version: VersionId) -> Action {
+    fn order_load(&mut self, now: Instant, at: usize, version: VersionId) -> Action {
         let order = self.next_order();
         let slot = &mut self.slots[at];
         slot.set(now, State::Loading(version));
         slot.order = order.seq;
-        self.places.insert(version, at);
-        self.gone.remove(&version);
+        self.positions.insert(version, at);
+        self.unloaded.remove(&version);
         Action::Load { version, order }
     }
 
-    /// Orders out the coldest version that nobody uses or waits for.
+    /// Orders the unload of the least used version that no request uses or waits
+    /// for.
     fn evict(&mut self, now: Instant, waits: &[Wait]) -> Option<Action> {
         let awaited =
             |version| waits.binary_search_by_key(&version, |wait: &Wait| wait.version).is_ok();
         let candidates = self.slots.iter().enumerate().filter_map(|(at, slot)| {
             let version = slot.version()?;
-            let heat = self.heats.value(now, version);
-            (slot.is_unpinned() && !awaited(version)).then_some((heat, at))
+            let uses = self.use_counts.value(now, version);
+            (slot.is_unpinned() && !awaited(version)).then_some((uses, at))
         });
         let (_, at) = candidates.min_by(|a, b| a.0.total_cmp(&b.0))?;
-        self.unload(now, at)
+        self.order_unload(now, at)
     }
 
-    /// Orders the version in slot `at` out, unless a request runs on it:
-    /// then its residency is shared and there is none to give away.
-    fn unload(&mut self, now: Instant, at: usize) -> Option<Action> {
+    /// Orders the unload of the version in slot `at`, unless a request runs on
+    /// it and therefore shares its residency.
+    fn order_unload(&mut self, now: Instant, at: usize) -> Option<Action> {
         let slot = &mut self.slots[at];
         let State::Loaded(shared) = std::mem::replace(&mut slot.state, State::Empty) else {
             unreachable!("only loaded slots are unloaded");
         };
         match Rc::try_unwrap(shared) {
-            Ok(residency) => Some(self.unload_residency(now, at, residency)),
+            Ok(residency) => Some(self.order_residency_unload(now, at, residency)),
             Err(shared) => {
                 slot.state = State::Loaded(shared);
                 None
@@ -366,7 +378,7 @@
         }
     }
 
-    fn unload_residency(&mut self, now: Instant, at: usize, residency: Residency) -> Action {
+    fn order_residency_unload(&mut self, now: Instant, at: usize, residency: Residency) -> Action {
         let version = residency.version();
         let order = self.next_order();
         let slot = &mut self.slots[at];
@@ -375,23 +387,25 @@
         Action::Unload { version, order }
     }
 
-    fn empty_drained(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    /// Orders the unload of every draining slot that is no longer pinned.
+    fn unload_drained(&mut self, now: Instant, actions: &mut Vec<Action>) {
         for at in 0..self.slots.len() {
             if self.slots[at].draining && self.slots[at].is_unpinned() {
-                actions.extend(self.unload(now, at));
+                actions.extend(self.order_unload(now, at));
             }
         }
     }
 
-    /// Without this, adapters that always serve somebody hold every slot and
-    /// a request for another one waits to its deadline. One slot at a time
-    /// is closed to newcomers, so it empties when its last request ends.
-    fn drain_one(&mut self, now: Instant) {
+    /// Starts draining the slot with the least used version, one slot at a time.
+    /// Without this, adapters in constant use occupy every slot and a request
+    /// for another adapter waits until its deadline. A draining slot accepts no
+    /// new requests and is emptied when its last request ends.
+    fn drain_least_used(&mut self, now: Instant) {
         if self.slots.iter().any(|slot| slot.draining) {
             return;
         }
         let loaded = self.slots.iter().enumerate().filter_map(|(at, slot)| match &slot.state {
-            State::Loaded(residency) => Some((self.heats.value(now, residency.version()), at)),
+            State::Loaded(residency) => Some((self.use_counts.value(now, residency.version()), at)),
             _ => None,
         });
         if let Some((_, at)) = loaded.min_by(|a, b| a.0.total_cmp(&b.0)) {
@@ -399,50 +413,50 @@
         }
     }
 
-    /// Fills empty slots with the versions asked for most, as after a restart.
+    /// Loads the most used versions into empty slots, for example after a
+    /// restart of the engine.
     fn prefetch(&mut self, now: Instant, left: u32, actions: &mut Vec<Action>) {
         let spare = left.saturating_sub(self.limits.prefetch_reserve);
         for _ in 0..spare {
-            let Some(at) = self.empty_slot() else { return };
+            let Some(at) = self.find_empty_slot() else { return };
             let absent = |&(version, _): &(VersionId, f64)| {
-                !self.places.contains_key(&version) && self.backoff.left(now, version).is_none()
+                !self.positions.contains_key(&version)
+                    && self.backoff.remaining(now, version).is_none()
             };
-            let hottest = self.heats.iter(now).filter(absent).max_by(|a, b| a.1.total_cmp(&b.1));
-            let Some((version, _)) = hottest else { return };
-            actions.push(self.load(now, at, version));
+            let most_used =
+                self.use_counts.iter(now).filter(absent).max_by(|a, b| a.1.total_cmp(&b.1));
+            let Some((version, _)) = most_used else { return };
+            actions.push(self.order_load(now, at, version));
         }
     }
 
-    pub(super) fn loaded(&mut self, now: Instant, at: usize, version: VersionId) {
-        self.backoff.succeeded(version);
+    pub(super) fn finish_load(&mut self, now: Instant, at: usize, version: VersionId) {
+        self.backoff.reset(version);
         let slot = &mut self.slots[at];
         let draining = slot.draining;
         slot.set(now, State::Loaded(Residency::new(version)));
-        // A version retired while it loaded is still to go.
+        // A version retired during its load must still be unloaded.
         slot.draining = draining;
     }
 
-    pub(super) fn load_failed(
-        &mut self,
-        now: Instant,
-        at: usize,
-        version: VersionId,
-    ) -> Vec<Action> {
-        self.clear(now, at);
-        let retry_after = self.backoff.failed(now, version);
+    pub(super) fn fail_load(&mut self, now: Instant, at: usize, version: VersionId) -> Vec<Action> {
+        self.clear_slot(now, at);
+        let retry_after = self.backoff.record_failure(now, version);
         vec![Action::Failed { version, retry_after }]
     }
 
-    pub(super) fn clear(&mut self, now: Instant, at: usize) {
+    /// Empties a slot and records when its version was removed.
+    pub(super) fn clear_slot(&mut self, now: Instant, at: usize) {
         if let Some(version) = self.slots[at].version() {
-            self.places.remove(&version);
-            self.gone.insert(version, now);
+            self.positions.remove(&version);
+            self.unloaded.insert(version, now);
         }
         self.slots[at].set(now, State::Empty);
     }
 
-    fn unknown(&mut self, now: Instant, at: usize) -> Vec<Action> {
-        self.slots[at].unsure = true;
+    /// Marks the order's outcome as unknown and requests a report.
+    fn mark_unconfirmed(&mut self, now: Instant, at: usize) -> Vec<Action> {
+        self.slots[at].unconfirmed = true;
         self.slots[at].changed = now;
         vec![Action::RequestReport]
     }
@@ -452,17 +466,18 @@
         Order { fencing: self.fencing, seq: self.seq }
     }
 
-    fn awaited(&self, order: Order) -> Option<(usize, VersionId)> {
+    /// Returns the slot and version of `order` if its answer is still expected.
+    fn pending_order(&self, order: Order) -> Option<(usize, VersionId)> {
         let at = self.slots.iter().position(|slot| slot.order == order.seq)?;
-        let awaited = order.fencing == self.fencing && !self.slots[at].unsure;
-        awaited.then_some((at, self.slots[at].version()?))
+        let pending = order.fencing == self.fencing && !self.slots[at].unconfirmed;
+        pending.then_some((at, self.slots[at].version()?))
     }
 
-    pub(super) fn empty_slot(&self) -> Option<usize> {
+    pub(super) fn find_empty_slot(&self) -> Option<usize> {
         self.slots.iter().position(|slot| matches!(slot.state, State::Empty))
     }
 
-    fn count(&self, test: impl Fn(&State) -> bool) -> usize {
+    fn count_slots(&self, test: impl Fn(&State) -> bool) -> usize {
         self.slots.iter().filter(|slot| test(&slot.state)).count()
     }
 }
