--- a/kingcupbay_core/src/queue/entry.rs
+++ b/kingcupbay_core/src/queue/entry.rs
@@ -1,4 +1,4 @@
-//! A waiting request, and one that was given up on.
+//! Waiting requests, and requests given up without running.
 
 use crate::{
     id::{OrganisationId, RequestId, VersionId},
@@ -6,20 +6,20 @@
     wire::error::{Code, Failure, Ran},
 };
 
-/// A request that waits for its engine.
+/// A request that waits for an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// Identity of the request.
     pub request: RequestId,
-    /// Whose lane it waits in.
+    /// Organisation in whose lane it waits.
     pub organisation: OrganisationId,
-    /// The adapter version it needs.
+    /// Adapter version it needs.
     pub version: VersionId,
-    /// Tokens expected: the prompt's and those it may generate.
+    /// Expected number of tokens: those of the prompt and those it may generate.
     pub tokens: u64,
-    /// When its caller stops waiting.
+    /// Time at which its caller stops waiting.
     pub deadline: Instant,
-    /// When it came.
+    /// Time at which it was enqueued.
     pub enqueued: Instant,
 }
 
@@ -28,9 +28,9 @@
 pub struct GivenUp {
     /// The request.
     pub entry: Entry,
-    /// Why.
+    /// Reason, as an error code.
     pub code: Code,
-    /// When coming back helps.
+    /// Time after which a retry may succeed.
     pub retry_after: Span,
 }
 
@@ -39,8 +39,9 @@
         GivenUp { entry, code, retry_after }
     }
 
-    /// What the caller is told. "Not run" is true: it never left the queue.
-    /// Only of a second attempt that is not known, as the first may run.
+    /// Returns the failure reported to the caller. The request never left the
+    /// queue, so it is reported as not run. The exception is a second attempt of
+    /// a request: its outcome is unknown, as the first attempt may run.
     pub fn failure(&self) -> Failure {
         let message = match self.code {
             Code::OutcomeUnknown => "an earlier attempt of this request has not ended",
@@ -59,10 +60,10 @@
 pub struct Wait {
     /// The version.
     pub version: VersionId,
-    /// Whose requests they are; a version belongs to one organisation.
+    /// Organisation of the requests; a version belongs to one organisation.
     pub organisation: OrganisationId,
-    /// How many wait.
+    /// Number of waiting requests.
     pub count: u32,
-    /// Since when the first of them waits.
+    /// Time at which the oldest of them was enqueued.
     pub oldest: Instant,
 }
