--- a/kingcupbay_core/src/route/holders.rs
+++ b/kingcupbay_core/src/route/holders.rs
@@ -1,89 +1,99 @@
-//! Which upstreams hold a version: the inverse of their reports.
+//! Index of the upstreams that hold a version, built from their reports.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::{id::VersionId, time::Instant};
 
-/// Position of an upstream in the router's table.
-pub(super) type Place = u16;
+/// Index of an upstream in the router's table.
+pub(super) type UpstreamIndex = u16;
 
-/// One upstream that holds a version, or soon will.
+/// An upstream that holds a version or is expected to load it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Holder {
-    pub(super) place: Place,
-    /// Set while no report has shown it: it was sent a request for the
-    /// version and is loading it. Until then all requests follow the first.
-    pub(super) expected: Option<Instant>,
+    pub(super) index: UpstreamIndex,
+    /// When the expectation expires, if no report has shown the version there yet.
+    /// The upstream was sent a request for the version and is loading it;
+    /// meanwhile further requests follow the first one.
+    pub(super) expires: Option<Instant>,
 }
 
-/// Holders by version. Invariant: no empty list, no place twice in a list.
+/// Holders by version. Invariant: no list is empty or has the same index twice.
 #[derive(Debug, Default)]
 pub(super) struct Holders {
-    lists: BTreeMap<VersionId, Vec<Holder>>,
-    /// Expectations in the order of their ends; met ones stay until then.
-    expected: VecDeque<(Instant, VersionId, Place)>,
+    by_version: BTreeMap<VersionId, Vec<Holder>>,
+    /// Expectations in the order of expiry. Those met by a report also stay until
+    /// they expire.
+    expected: VecDeque<(Instant, VersionId, UpstreamIndex)>,
 }
 
 impl Holders {
-    pub(super) fn of(&self, version: VersionId) -> &[Holder] {
-        self.lists.get(&version).map_or(&[], Vec::as_slice)
+    /// Returns the holders of `version`.
+    pub(super) fn get(&self, version: VersionId) -> &[Holder] {
+        self.by_version.get(&version).map_or(&[], Vec::as_slice)
     }
 
-    /// Notes that `place` will load `version`, unless it holds it.
-    pub(super) fn expect(&mut self, version: VersionId, place: Place, until: Instant) {
-        let list = self.lists.entry(version).or_default();
-        if !list.iter().any(|holder| holder.place == place) {
-            list.push(Holder { place, expected: Some(until) });
-            self.expected.push_back((until, version, place));
+    /// Records that the upstream is expected to load `version` before `until`,
+    /// unless it is already a holder.
+    pub(super) fn add_expected(
+        &mut self,
+        version: VersionId,
+        index: UpstreamIndex,
+        until: Instant,
+    ) {
+        let list = self.by_version.entry(version).or_default();
+        if !list.iter().any(|holder| holder.index == index) {
+            list.push(Holder { index, expires: Some(until) });
+            self.expected.push_back((until, version, index));
         }
     }
 
-    /// Notes that a report shows `version` at `place`.
-    pub(super) fn add(&mut self, version: VersionId, place: Place) {
-        let list = self.lists.entry(version).or_default();
-        match list.iter_mut().find(|holder| holder.place == place) {
-            Some(holder) => holder.expected = None,
-            None => list.push(Holder { place, expected: None }),
+    /// Records that a report shows `version` at the upstream.
+    pub(super) fn add_reported(&mut self, version: VersionId, index: UpstreamIndex) {
+        let list = self.by_version.entry(version).or_default();
+        match list.iter_mut().find(|holder| holder.index == index) {
+            Some(holder) => holder.expires = None,
+            None => list.push(Holder { index, expires: None }),
         }
     }
 
-    pub(super) fn remove(&mut self, version: VersionId, place: Place) {
-        let Some(list) = self.lists.get_mut(&version) else { return };
-        list.retain(|holder| holder.place != place);
+    pub(super) fn remove(&mut self, version: VersionId, index: UpstreamIndex) {
+        let Some(list) = self.by_version.get_mut(&version) else { return };
+        list.retain(|holder| holder.index != index);
         if list.is_empty() {
-            self.lists.remove(&version);
+            self.by_version.remove(&version);
         }
     }
 
-    /// Forgets an upstream that was removed, with what it was expected to load.
-    pub(super) fn remove_place(&mut self, place: Place) {
-        let held = |list: &Vec<Holder>| list.iter().any(|holder| holder.place == place);
-        let versions = self.lists.iter().filter(|(_, list)| held(list));
+    /// Removes a deleted upstream from the holders of every version.
+    pub(super) fn remove_upstream(&mut self, index: UpstreamIndex) {
+        let held = |list: &Vec<Holder>| list.iter().any(|holder| holder.index == index);
+        let versions = self.by_version.iter().filter(|(_, list)| held(list));
         let versions: Vec<VersionId> = versions.map(|(&version, _)| version).collect();
         for version in versions {
-            self.remove(version, place);
+            self.remove(version, index);
         }
     }
 
-    /// Forgets that `place` would load `version`, unless a report shows it.
-    pub(super) fn unexpect(&mut self, version: VersionId, place: Place) {
-        let held = self.of(version).iter().find(|holder| holder.place == place);
-        if held.is_some_and(|holder| holder.expected.is_some()) {
-            self.remove(version, place);
+    /// Removes the expectation that the upstream loads `version`, unless a report
+    /// has shown the version there.
+    pub(super) fn remove_expected(&mut self, version: VersionId, index: UpstreamIndex) {
+        let held = self.get(version).iter().find(|holder| holder.index == index);
+        if held.is_some_and(|holder| holder.expires.is_some()) {
+            self.remove(version, index);
         }
     }
 
-    /// Forgets expectations that no report has met in time.
-    pub(super) fn sweep(&mut self, now: Instant) {
-        while let Some(&(until, version, place)) = self.expected.front() {
+    /// Removes expectations that no report has met in time.
+    pub(super) fn expire(&mut self, now: Instant) {
+        while let Some(&(until, version, index)) = self.expected.front() {
             if until >= now {
                 return;
             }
             self.expected.pop_front();
-            let held = self.of(version).iter().find(|holder| holder.place == place);
-            // A later expectation of the same has its own end.
-            if held.is_some_and(|holder| holder.expected == Some(until)) {
-                self.remove(version, place);
+            let held = self.get(version).iter().find(|holder| holder.index == index);
+            // A later expectation for the same pair expires on its own.
+            if held.is_some_and(|holder| holder.expires == Some(until)) {
+                self.remove(version, index);
             }
         }
     }
--- a/kingcupbay_core/src/route/retry.rs
+++ b/kingcupbay_core/src/route/retry.rs
@@ -1,95 +1,97 @@
-//! Whether a request that failed on one upstream may go to another.
+//! Retry budget for requests that failed on one upstream.
 
-/// Part of a retry that each first attempt earns: retries add at most a
-/// tenth to the load, however many upstreams fail.
-const EARNED: u32 = 100;
+/// Credit that each first attempt adds to the budget, in thousandths of a retry.
+/// It limits retries to a tenth of the load, however many upstreams fail.
+const CREDIT_PER_REQUEST: u32 = 100;
 
-/// Price of one retry, in the same unit.
-const PRICE: u32 = 1_000;
+/// Credit that one retry costs, in thousandths of a retry.
+const RETRY_COST: u32 = 1_000;
 
-/// Most retries saved up.
-const SAVED: u32 = 20;
+/// Maximum number of retries for which credit accumulates.
+const MAX_SAVED_RETRIES: u32 = 20;
 
-/// Kind of work, as far as repeating it goes.
+/// The kind of a request, which decides whether it may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkKind {
-    /// Generation: repeating it costs time only.
+    /// A generation; repeating it only costs time.
     Generate,
-    /// A call that may be repeated.
+    /// A service call that may be repeated.
     Call,
-    /// A call that runs at most once.
+    /// A service call that must run at most once.
     Once,
 }
 
-/// How far a failed attempt came, as the entry can prove.
+/// The progress of a failed attempt, as far as the entry can prove it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// It was refused as not run, or never sent.
+    /// The request was refused as not run, or never sent.
     NotRun,
-    /// It was sent; no byte of the answer has gone to the caller.
+    /// The request was sent, but no byte of the answer was delivered to the caller.
     Sent,
-    /// The caller has the answer up to this token.
+    /// The answer was delivered to the caller up to this token.
     Streaming {
-        /// Tokens delivered.
+        /// Number of tokens delivered.
         offset: u32,
     },
 }
 
-/// What may be done after a failed attempt.
+/// The decision after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retry {
-    /// Try another upstream from the start.
+    /// Retry on another upstream from the start.
     Again,
-    /// Try another upstream from this token on.
+    /// Continue on another upstream after the tokens already delivered.
     Resume {
-        /// Tokens delivered.
+        /// Number of tokens delivered.
         offset: u32,
     },
-    /// The work must not be tried again.
+    /// The request must not be retried.
     Never,
-    /// It might be, but retries have used up their part of the load.
+    /// The request could be retried, but the retry budget is used up.
     Spent,
 }
 
-/// Limits retries to a part of all requests, so that a failing fleet is not
-/// brought down by its callers' second attempts.
+/// A budget that limits retries to a share of all requests, so that retries do
+/// not overload a fleet that is already failing.
 #[derive(Debug)]
 pub struct RetryBudget {
-    /// Invariant: at most `SAVED * PRICE`.
-    level: u32,
+    /// Available credit in thousandths of a retry. Invariant: at most
+    /// `MAX_SAVED_RETRIES * RETRY_COST`.
+    credit: u32,
 }
 
 impl Default for RetryBudget {
     fn default() -> RetryBudget {
-        RetryBudget { level: SAVED * PRICE }
+        RetryBudget { credit: MAX_SAVED_RETRIES * RETRY_COST }
     }
 }
 
 impl RetryBudget {
-    /// Notes the first attempt of a request.
+    /// Records the first attempt of a request, which adds credit.
     pub fn record_first_attempt(&mut self) {
-        self.level = (self.level + EARNED).min(SAVED * PRICE);
+        self.credit = (self.credit + CREDIT_PER_REQUEST).min(MAX_SAVED_RETRIES * RETRY_COST);
     }
 
-    /// Decides on another attempt and takes its price.
+    /// Decides whether a failed attempt is retried, and charges the retry.
     ///
-    /// A once-only call is never tried again, also when it was refused as not
-    /// run: its claim names the attempt, and the caller repeats it by key.
+    /// A call that must run at most once is never retried, even if it was refused
+    /// as not run: its claim is bound to the attempt, and the caller repeats the
+    /// call with its idempotency key.
     pub fn retry(&mut self, work: WorkKind, progress: Progress) -> Retry {
         let retry = match (work, progress) {
             (WorkKind::Once, _) => return Retry::Never,
             (_, Progress::NotRun | Progress::Sent) => Retry::Again,
-            // An answer that has begun is resumed whatever the budget: when a
-            // zone goes, its streams break all at once, and there are never
-            // more resumptions than there were streams.
+            // An answer that has begun is resumed regardless of the budget: when a
+            // zone fails, all of its streams break at the same time, and there are
+            // never more resumptions than there were streams.
             (WorkKind::Generate, Progress::Streaming { offset }) => {
                 return Retry::Resume { offset };
             }
             (WorkKind::Call, Progress::Streaming { .. }) => return Retry::Never,
         };
-        match self.level.checked_sub(PRICE) {
-            Some(level) => {
-                self.level = level;
+        match self.credit.checked_sub(RETRY_COST) {
+            Some(credit) => {
+                self.credit = credit;
                 retry
             }
             None => Retry::Spent,
