--- a/kingcupbay_core/tests/golden_serve.rs
+++ b/kingcupbay_core/tests/golden_serve.rs
@@ -290,7 +290,7 @@
 /// loading it again elsewhere. A third would wait for a place, so it gets a
 /// copy. Once there are places nothing needs to be loaded.
 #[test]
-fn a_cold_adapter() {
+fn a_cold_adapter_is_loaded_once_while_there_is_capacity() {
     let mut session = Session::new();
     session.request(0, 1, 1, 10);
     let runner = session.place(1);
@@ -308,7 +308,7 @@
 /// place left, so it gets copies in other zones, and there the version used
 /// least makes room.
 #[test]
-fn a_hot_shift() {
+fn a_popular_adapter_gains_replicas_in_other_zones() {
     let mut session = Session::new();
     for version in 20..26 {
         let request = version as u8;
@@ -330,7 +330,7 @@
 /// after the tokens their callers have, and the version that was asked for is
 /// loaded again before anybody waits for it.
 #[test]
-fn an_engine_restart() {
+fn an_engine_restart_resumes_its_requests_elsewhere() {
     let mut session = Session::new();
     session.request(0, 1, 1, 10);
     let runner = session.place(1);
@@ -347,7 +347,7 @@
 /// A load fails twice. Those who wait for it are told at once and their entry
 /// tries another runner, each time with the runner that failed left out.
 #[test]
-fn a_failed_load() {
+fn a_failed_load_moves_its_requests_to_another_upstream() {
     let mut session = Session::new();
     session.request(0, 1, 1, 10);
     session.request(10, 2, 1, 10);
@@ -365,7 +365,7 @@
 /// room for a small organisation's request, and a request whose deadline is
 /// out of reach is answered while its caller can still go elsewhere.
 #[test]
-fn a_full_queue() {
+fn a_full_queue_evicts_from_the_longest_lane() {
     let mut session = Session::new();
     let limits = queue::Limits { max_waiting: 3, ..queue::Limits::default() };
     session.sides.iter_mut().for_each(|side| side.queue = Queue::new(limits));
--- a/kingcupbay_core/tests/queue.rs
+++ b/kingcupbay_core/tests/queue.rs
@@ -1,4 +1,5 @@
-//! The queue: fair by tokens, honest about deadlines, full batches.
+//! Tests of the fair queue: token accounting, order of service, deadlines and
+//! limits.
 
 #![allow(clippy::unwrap_used)]
 
@@ -43,8 +44,9 @@
     }
 }
 
-/// Organisation 1 sends five times what organisation 2 sends, before it. The
-/// guests of organisation 2 would wait behind all of it in a plain queue.
+/// Organisation 1 sends five times as many requests as organisation 2, and sends
+/// them first. In a first-in-first-out queue, organisation 2 would wait behind
+/// all of them.
 #[test]
 fn the_smaller_organisation_is_served_in_turn() {
     let mut queue = Queue::new(Limits { max_waiting: 100, ..LIMITS });
@@ -61,8 +63,10 @@
     assert_eq!(owners.iter().filter(|&&owner| owner == 2).count(), 10);
 }
 
+/// A request uses more, then fewer tokens than expected. Without correction the
+/// organisation would be served too early or too late afterwards.
 #[test]
-fn the_real_count_replaces_the_expected_one() {
+fn the_actual_token_count_replaces_the_expected_one() {
     let mut queue = Queue::new(LIMITS);
     queue.push(at(0), entry(1, 1, 1_000, at(0)));
     queue.push(at(0), entry(2, 1, 1_000, at(0)));
@@ -77,8 +81,8 @@
     assert_eq!(queue.running(), 0);
 }
 
-/// An organisation is idle for an hour and then sends a lot. If idle time
-/// earned credit, everybody else would stand still until it was used up.
+/// An organisation is idle and then sends many requests. If its counter stayed
+/// behind while it was idle, all others would wait until it had caught up.
 #[test]
 fn idle_time_earns_no_credit() {
     let mut queue = Queue::new(Limits { max_waiting: 100, ..LIMITS });
@@ -96,10 +100,11 @@
     assert_eq!(owners.iter().filter(|&&owner| owner == 1).count(), 4, "{owners:?}");
 }
 
-/// An organisation's adapters load for a long time while others are served.
-/// Its lag is bounded, or it would then hold every place for as long.
+/// An organisation's adapters load for a long time while others are served. If
+/// its lag were not bounded, it would afterwards be the only one served for as
+/// long.
 #[test]
-fn a_lane_held_up_by_loads_catches_up_within_its_credit() {
+fn a_lane_delayed_by_loads_catches_up_within_max_lag() {
     let mut queue = Queue::new(Limits { max_waiting: 200, ..LIMITS });
     for number in 0..50 {
         queue.push(at(0), entry(number, 1, 100, at(0)));
@@ -115,8 +120,10 @@
     assert!((5..=8).contains(&ones), "{owners:?}");
 }
 
+/// The oldest request of a lane waits for a load. The engine must start a later
+/// one whose adapter is loaded instead of idling.
 #[test]
-fn a_loaded_adapter_passes_one_that_loads() {
+fn a_loaded_adapter_overtakes_one_that_loads() {
     let mut queue = Queue::new(LIMITS);
     let cold = Entry { version: version(9), ..entry(1, 1, 10, at(0)) };
     queue.push(at(0), cold);
@@ -126,27 +133,34 @@
     assert_eq!(queue.start_next(at(0), |_| true).unwrap().request, id(1));
 }
 
+/// A request cannot meet its deadline, on arrival or after waiting. It must be
+/// refused as not run, with a retry delay, and must not be started.
 #[test]
-fn a_deadline_out_of_reach_is_answered_at_once_as_not_run() {
+fn an_unreachable_deadline_is_refused_immediately_as_not_run() {
     let mut queue = Queue::new(LIMITS);
-    let hasty = Entry { deadline: at(40), ..entry(1, 1, 10, at(0)) };
-    let given_up = queue.push(at(0), hasty).unwrap();
+    let urgent = Entry { deadline: at(40), ..entry(1, 1, 10, at(0)) };
+    let given_up = queue.push(at(0), urgent).unwrap();
     assert_eq!((given_up.code, given_up.failure().ran), (Code::Deadline, Ran::NotRun));
-    let patient = Entry { deadline: at(100), ..entry(2, 1, 10, at(0)) };
-    assert_eq!(queue.push(at(0), patient), None);
+    let relaxed = Entry { deadline: at(100), ..entry(2, 1, 10, at(0)) };
+    assert_eq!(queue.push(at(0), relaxed), None);
     assert_eq!(queue.expire(at(50)), []);
     let due = queue.next_expiry().unwrap();
-    assert_eq!(queue.start_next(due, |_| true), None, "a hopeless request starts");
+    assert_eq!(
+        queue.start_next(due, |_| true),
+        None,
+        "a request that cannot meet its deadline starts"
+    );
     let given_up = queue.expire(due);
     assert_eq!(given_up[0].entry.request, id(2));
     assert!(given_up[0].failure().retry_after.unwrap() >= Span::from_secs(1));
     assert!(queue.is_empty() && queue.waits().is_empty());
 }
 
-/// One start a second is what the engine does, and twenty requests wait. The
-/// next one has ten seconds: holding it until then only delays its refusal.
+/// The engine starts one request per second and twenty-one requests wait. A new
+/// request with a deadline of ten seconds would only be refused later if it were
+/// enqueued.
 #[test]
-fn a_wait_longer_than_the_deadline_is_foreseen() {
+fn a_wait_longer_than_the_deadline_is_refused_on_arrival() {
     let mut queue = Queue::new(Limits { max_waiting: 100, ..LIMITS });
     for number in 0..30 {
         queue.push(at(0), entry(number, 1, 10, at(0)));
@@ -155,15 +169,15 @@
         queue.start_next(at(1_000 * second), |_| true).unwrap();
     }
     let now = at(9_000);
-    let hasty = Entry { deadline: now + Span::from_secs(10), ..entry(90, 1, 10, now) };
-    let given_up = queue.push(now, hasty).unwrap();
+    let urgent = Entry { deadline: now + Span::from_secs(10), ..entry(90, 1, 10, now) };
+    let given_up = queue.push(now, urgent).unwrap();
     assert_eq!((given_up.code, given_up.retry_after), (Code::Deadline, Span::from_secs(21)));
     let other = Entry { deadline: now + Span::from_secs(10), ..entry(91, 2, 10, now) };
-    assert_eq!(queue.push(now, other), None, "the short lane has no such wait");
+    assert_eq!(queue.push(now, other), None, "a request in a short lane is refused");
 }
 
-/// The engine slows down while a request waits. Its caller could still go
-/// elsewhere in time, but only if it is told before the deadline has come.
+/// The engine slows down while requests wait. Their callers can still retry
+/// elsewhere in time, but only if they are notified well before the deadline.
 #[test]
 fn a_wait_that_grows_beyond_the_deadline_is_answered_early() {
     let mut queue = Queue::new(Limits { max_waiting: 100, ..LIMITS });
@@ -174,13 +188,17 @@
     for second in 1..6 {
         queue.start_next(at(10_000 + 1_000 * second), |_| true).unwrap();
     }
-    assert_eq!(queue.expire(at(15_000)), [], "14 seconds of work, 25 seconds left");
+    assert_eq!(queue.expire(at(15_000)), [], "14 seconds of waiting, 25 seconds left");
     queue.start_next(at(31_000), |_| true).unwrap();
-    let told: Vec<_> = queue.expire(at(31_000)).iter().map(|gone| gone.entry.request).collect();
-    // 2.875 s a start by now: half of seven is beyond the 8.95 s left.
-    assert_eq!(told, (13..20).map(id).collect::<Vec<_>>());
+    let expired: Vec<_> =
+        queue.expire(at(31_000)).iter().map(|given_up| given_up.entry.request).collect();
+    // The mean interval is now 2.875 s: half of seven intervals exceeds the 8.95 s
+    // left.
+    assert_eq!(expired, (13..20).map(id).collect::<Vec<_>>());
 }
 
+/// One organisation fills the queue. Its own next request must be refused, and a
+/// request of another organisation must evict its newest one.
 #[test]
 fn a_full_queue_refuses_the_longest_lane_first() {
     let mut queue = Queue::new(LIMITS);
@@ -189,16 +207,16 @@
     }
     let refused = queue.push(at(1), entry(8, 1, 10, at(1))).unwrap();
     assert_eq!((refused.entry.request, refused.code), (id(8), Code::Overloaded));
-    let pushed_out = queue.push(at(1), entry(9, 2, 10, at(1))).unwrap();
-    assert_eq!((pushed_out.entry.request, pushed_out.code), (id(7), Code::Overloaded));
+    let evicted = queue.push(at(1), entry(9, 2, 10, at(1))).unwrap();
+    assert_eq!((evicted.entry.request, evicted.code), (id(7), Code::Overloaded));
     assert_eq!((queue.len(), queue.waits().len()), (8, 2));
 }
 
-/// An entry loses its connection and sends the request again while the first
-/// attempt waits or runs here. Taken twice, the first one's end would unpin the
-/// adapter under the second, and "not run" would be a lie.
+/// An entry daemon loses its connection and sends the request again while the
+/// first attempt waits or runs here. If both were accepted, the end of the first
+/// would unpin the adapter used by the second. Reporting "not run" would be wrong.
 #[test]
-fn a_second_attempt_is_not_taken_beside_the_first() {
+fn a_second_attempt_is_refused_while_the_first_is_present() {
     let mut queue = Queue::new(LIMITS);
     let once = entry(1, 1, 100, at(0));
     assert_eq!(queue.push(at(0), once), None);
@@ -214,8 +232,10 @@
     assert_eq!(queue.push(at(3), once), None);
 }
 
+/// A load fails, then the daemon stops. Every request that waits for the version,
+/// or at all, must be given up; otherwise its caller waits until its deadline.
 #[test]
-fn a_failed_load_and_a_stop_tell_every_waiter() {
+fn a_failed_load_and_a_stop_give_up_every_waiting_request() {
     let mut queue = Queue::new(LIMITS);
     for number in 0..3 {
         queue.push(at(0), entry(number, 1 + number as u32 / 2, 10, at(0)));
@@ -228,11 +248,10 @@
     assert!(queue.is_empty());
 }
 
-/// Random commands against a plain list: nothing is lost, doubled or started
-/// unready, and between two lanes that wait all along the served tokens
-/// differ by no more than the credit and two requests.
+/// Random commands against a simple model: no request is lost, duplicated or
+/// started while its version is not ready.
 #[test]
-fn random_sessions_lose_nothing() {
+fn random_sessions_lose_no_request() {
     for seed in 0..200 {
         let mut source = Gen::from_size_and_seed(64, seed);
         let mut queue = Queue::new(LIMITS);
@@ -246,8 +265,8 @@
                     let span = Span::from_millis(u64::from(u8::arbitrary(&mut source)) * 10);
                     let new = Entry { deadline: now + span, ..entry(step, owner, 100, now) };
                     waiting.insert(new.request, new);
-                    if let Some(gone) = queue.push(now, new) {
-                        assert_eq!(waiting.remove(&gone.entry.request), Some(gone.entry));
+                    if let Some(given_up) = queue.push(now, new) {
+                        assert_eq!(waiting.remove(&given_up.entry.request), Some(given_up.entry));
                     }
                 }
                 3 => {
@@ -259,8 +278,8 @@
                     }
                 }
                 4 => {
-                    for gone in queue.expire(now) {
-                        assert_eq!(waiting.remove(&gone.entry.request), Some(gone.entry));
+                    for given_up in queue.expire(now) {
+                        assert_eq!(waiting.remove(&given_up.entry.request), Some(given_up.entry));
                     }
                     assert!(queue.next_expiry().is_none_or(|next| next > now));
                 }
--- a/kingcupbay_core/tests/route.rs
+++ b/kingcupbay_core/tests/route.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_upstream_that_holds_it_is_preferred() {
+fn an_upstream_that_holds_the_adapter_is_preferred() {
     let mut router = router(&config(10), 1);
     let cold = choose(&mut router, 0, 7).unwrap();
     let held = u((cold.raw() + 1) % 10);
@@ -135,7 +135,7 @@
 /// The report is a second old and says that both are idle. An entry that
 /// believed it would send everything of that second to the same one.
 #[test]
-fn own_requests_since_the_report_count() {
+fn own_requests_since_the_report_are_counted() {
     let mut router = router(&config(2), 1);
     for raw in 0..2 {
         router.on_report(u(raw), &report(1, 0, &[7]));
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn leaving_unreachable_removed_and_tried_ones_get_nothing() {
+fn leaving_unreachable_removed_and_tried_upstreams_get_no_requests() {
     let mut config = config(4);
     let mut router = router(&config, 1);
     for raw in 0..4 {
@@ -182,7 +182,7 @@
 /// A tour company makes one adapter most of all demand. Its one upstream
 /// would make every guest wait for a place while others have places free.
 #[test]
-fn a_busy_adapter_gains_copies_in_other_zones_while_there_is_room() {
+fn a_busy_adapter_gains_replicas_in_other_zones_while_there_is_capacity() {
     let mut router = router(&config(9), 1);
     for raw in 0..9 {
         router.on_report(u(raw), &report(1, 0, &[]));
@@ -208,7 +208,7 @@
 /// No upstream has reported yet, as after a start of the whole fleet. Copies
 /// made for want of a report would load every adapter at several of them.
 #[test]
-fn without_reports_a_few_requests_make_no_copies() {
+fn without_reports_a_few_requests_create_no_replicas() {
     let mut router = router(&config(9), 1);
     let guards: Vec<_> = (0..PLACES)
         .map(|_| {
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn the_second_copy_is_in_another_zone() {
+fn the_second_replica_is_in_another_zone() {
     for version in 0..30 {
         let mut router = router(&config(9), 1);
         (0..9).for_each(|raw| router.on_report(u(raw), &report(1, 0, &[])));
@@ -235,7 +235,7 @@
 /// its adapter is full, and so is the only other one: loading there wins
 /// nothing.
 #[test]
-fn a_retry_makes_no_copy_where_it_would_wait_too() {
+fn a_retry_creates_no_replica_where_it_would_also_wait() {
     let mut router = router(&config(3), 1);
     router.on_report(u(0), &report(1, 20, &[7]));
     router.on_report(u(1), &report(1, 0, &[]));
@@ -249,7 +249,7 @@
 /// Every upstream is full. Requests that looked for a better one would load
 /// their adapter everywhere, and the loads would make all wait still longer.
 #[test]
-fn a_full_fleet_gains_no_copies() {
+fn a_full_fleet_gains_no_replicas() {
     let mut router = router(&config(9), 1);
     for raw in 0..9 {
         let loaded: &[u32] = if raw == 4 { &[7] } else { &[] };
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn services_go_to_the_less_loaded() {
+fn service_calls_go_to_the_less_loaded_upstream() {
     let mut config = config(1);
     for number in 1..3 {
         let serves = Serves::Service { service: name("desk") };
--- a/kingcupbay_core/tests/slot.rs
+++ b/kingcupbay_core/tests/slot.rs
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn the_least_used_lately_goes_but_never_an_awaited_one() {
+fn the_least_used_version_is_evicted_unless_awaited() {
     let mut slots = slots(3);
     load(&mut slots, 0, &[1, 2, 3]);
     for (version, uses) in [(1, 8), (2, 2), (3, 4)] {
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_failed_load_is_told_and_backed_off() {
+fn a_failed_load_is_reported_and_backed_off() {
     let mut slots = slots(1);
     let planned = slots.plan(at(0), &[wait(1, 3, 0)], 1);
     let told = slots.on_load(at(250), order(planned[0]), Outcome::Failed);
@@ -171,7 +171,7 @@
 /// way. Their callers would wait for tokens that never come, and the answer
 /// to the old load order would mark a version loaded that is not.
 #[test]
-fn a_restart_empties_every_slot_and_tells_the_streams() {
+fn a_restart_empties_every_slot_and_notifies_its_requests() {
     let mut slots = slots(3);
     slots.on_report(at(0), &report(1, 0, &[]));
     load(&mut slots, 1, &[1, 2]);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn own_orders_win_over_a_lagging_report() {
+fn recent_orders_override_a_lagging_report() {
     let mut slots = slots(2);
     load(&mut slots, 0, &[1]);
     load(&mut slots, 100, &[2]);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_settled_by_a_report() {
+fn a_report_decides_an_order_whose_answer_was_lost() {
     for (there, ready) in [(vec![1], true), (vec![], false)] {
         let mut slots = slots(1);
         let planned = slots.plan(at(0), &[wait(1, 1, 0)], 1);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn cache_events_only_make_it_ask() {
+fn cache_events_only_request_a_report() {
     let mut slots = slots(2);
     slots.on_report(at(0), &report(1, 0, &[]));
     load(&mut slots, 1, &[1]);
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn a_retired_version_goes_when_its_last_request_ends() {
+fn a_retired_version_is_unloaded_when_its_last_request_ends() {
     let mut slots = slots(2);
     load(&mut slots, 0, &[1]);
     let pin = slots.pin(v(1), id(1)).unwrap();
