--- a/kingcupbay_core/benches/serve.rs
+++ b/kingcupbay_core/benches/serve.rs
@@ -1,4 +1,4 @@
-//! Time and memory of the serving decisions at the size of the target.
+//! Time and memory of the serving decisions at the target size of a fleet.
 
 use std::{fs, hint::black_box, time};
 
@@ -19,12 +19,12 @@
 const BASES: u32 = 3;
 const ZONES: u32 = 5;
 
-/// Decisions timed for each line.
+/// Number of decisions timed for each line of output.
 const ROUNDS: u64 = 200_000;
 
 fn main() {
     println!("{ADAPTERS} adapters, {UPSTREAMS} upstreams, {BASES} base models, {ZONES} zones\n");
-    // Every adapter of a base model is resident once with 112 slots.
+    // With 112 slots, the fleet holds every adapter about once.
     for slots in [16, 112] {
         bench_router(slots);
     }
@@ -56,7 +56,7 @@
     config
 }
 
-/// Versions resident on an upstream: those of its base model in turn.
+/// Returns the versions resident on an upstream, taken from its base model in turn.
 fn loaded(upstream: u32, slots: u32) -> Vec<VersionId> {
     let first = upstream / BASES * slots;
     let each = ADAPTERS / BASES;
@@ -70,7 +70,7 @@
 }
 
 fn bench_router(slots: u32) {
-    let before = resident();
+    let before = resident_kib();
     let mut router = Router::new(route::Limits::default(), 1);
     router.on_config(&config());
     for upstream in 0..UPSTREAMS {
@@ -78,29 +78,29 @@
     }
     let bases: Vec<Name> = (0..BASES).map(base).collect();
     let resident_versions = UPSTREAMS * slots;
-    let mut draw = draws();
-    // One request in 8 ms: 120 entries share 15,000 requests a second.
+    let mut draw = random_numbers();
+    // One request per 8 ms, as 120 entries share 15,000 requests per second.
     let now = |round: u64| Instant::from_micros(round * 8_000);
-    line(&format!("route, {slots} slots, held version"), |round| {
+    print_timings(&format!("route, {slots} slots, held version"), |round| {
         let upstream = draw(u64::from(UPSTREAMS)) as u32;
         let version = loaded(upstream, slots)[draw(u64::from(slots)) as usize];
         let (base, now) = (&bases[(version.raw() % BASES) as usize], now(round));
-        timed(|| router.choose(now, version, base, &[]))
+        measure(|| router.choose(now, version, base, &[]))
     });
-    line(&format!("route, {slots} slots, any version"), |round| {
+    print_timings(&format!("route, {slots} slots, any version"), |round| {
         let version = VersionId::from_raw(draw(u64::from(ADAPTERS)) as u32);
         let (base, now) = (&bases[(version.raw() % BASES) as usize], now(ROUNDS + round));
-        timed(|| router.choose(now, version, base, &[]))
+        measure(|| router.choose(now, version, base, &[]))
     });
-    line(&format!("report, {slots} slots, two changes"), |round| {
+    print_timings(&format!("report, {slots} slots, two changes"), |round| {
         let upstream = (round % u64::from(UPSTREAMS)) as u32;
         let mut report = report(upstream, slots, 2 + round);
         report.loaded[0] = VersionId::from_raw(draw(u64::from(ADAPTERS)) as u32);
-        timed(|| router.on_report(UpstreamId::from_raw(upstream), &report))
+        measure(|| router.on_report(UpstreamId::from_raw(upstream), &report))
     });
     println!(
         "resident versions {resident_versions}, router's memory {} KiB\n",
-        resident() - before
+        resident_kib() - before
     );
     drop(router);
 }
@@ -108,7 +108,7 @@
 fn bench_queue() {
     let limits = queue::Limits { max_waiting: 2_000, ..queue::Limits::default() };
     let mut queue = Queue::new(limits);
-    let mut draw = draws();
+    let mut draw = random_numbers();
     let entry = |round: u64, draw: &mut dyn FnMut(u64) -> u64| Entry {
         request: RequestId(u128::from(round).to_be_bytes()),
         organisation: OrganisationId::from_raw(draw(50) as u32),
@@ -121,34 +121,34 @@
         queue.push(Instant::from_micros(round), entry(round, &mut draw));
     }
     let mut started = Vec::new();
-    line("queue, 1,000 wait: push and start", |round| {
+    print_timings("queue, 1,000 wait: push and start", |round| {
         let now = Instant::from_micros(1_000 + round);
         let entry = entry(1_000 + round, &mut draw);
-        let spent = timed(|| {
+        let duration = measure(|| {
             queue.push(now, entry);
             started.extend(queue.start_next(now, |version| version.raw() % 8 != 0));
         });
         if let Some(done) = started.pop() {
             queue.finish(done.request, 500);
         }
-        spent
+        duration
     });
-    line("queue, 1,000 wait: expire", |round| {
-        timed(|| queue.expire(Instant::from_micros(ROUNDS + round)))
+    print_timings("queue, 1,000 wait: expire", |round| {
+        measure(|| queue.expire(Instant::from_micros(ROUNDS + round)))
     });
     println!("requests that wait at the end {}\n", queue.len());
 }
 
 fn bench_slots() {
     let mut slots = Slots::new(slot::Limits::default(), 16, 1);
-    let mut draw = draws();
-    line("slots, 16: plan and answers for one wait", |round| {
+    let mut draw = random_numbers();
+    print_timings("slots, 16: plan and answers for one wait", |round| {
         let now = Instant::from_micros(round * 8_000);
         let version = VersionId::from_raw((draw(60) * draw(60) / 60) as u32);
         let organisation = OrganisationId::from_raw(version.raw() % 5);
         let waits = [Wait { version, organisation, count: 1, oldest: now }];
         slots.touch(now, version);
-        timed(|| {
+        measure(|| {
             for _ in 0..2 {
                 for action in slots.plan(now, &waits, 1) {
                     match action {
@@ -162,8 +162,8 @@
     });
 }
 
-/// Numbers below a bound, the same in every run.
-fn draws() -> impl FnMut(u64) -> u64 {
+/// Returns a generator of numbers below a bound, the same in every run.
+fn random_numbers() -> impl FnMut(u64) -> u64 {
     let mut state: u64 = 1;
     move |below| {
         state =
@@ -172,22 +172,25 @@
     }
 }
 
-fn timed<T>(decide: impl FnOnce() -> T) -> time::Duration {
+/// Returns how long `decide` takes.
+fn measure<T>(decide: impl FnOnce() -> T) -> time::Duration {
     let start = time::Instant::now();
     black_box(decide());
     start.elapsed()
 }
 
-fn line(label: &str, mut round: impl FnMut(u64) -> time::Duration) {
-    let mut spent: Vec<time::Duration> = (0..ROUNDS).map(&mut round).collect();
-    spent.sort_unstable();
-    let at = |part: f64| spent[((ROUNDS - 1) as f64 * part) as usize];
+/// Runs `round` [`ROUNDS`] times and prints the median, the 99th percentile and the
+/// maximum duration.
+fn print_timings(label: &str, mut round: impl FnMut(u64) -> time::Duration) {
+    let mut durations: Vec<time::Duration> = (0..ROUNDS).map(&mut round).collect();
+    durations.sort_unstable();
+    let at = |quantile: f64| durations[((ROUNDS - 1) as f64 * quantile) as usize];
     let (median, p99, most) = (at(0.5), at(0.99), at(1.0));
     println!("{label:<44} median {median:>9.2?}   p99 {p99:>9.2?}   most {most:>9.2?}");
 }
 
-/// Resident set of this process in KiB, 0 where the system does not tell.
-fn resident() -> u64 {
+/// Returns the resident set size of this process in KiB, or 0 if it is unknown.
+fn resident_kib() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0)
--- a/kingcupbay_core/src/route/retry.rs
+++ b/kingcupbay_core/src/route/retry.rs
@@ -74,9 +74,9 @@
 
     /// Decides whether a failed attempt is retried, and charges the retry.
     ///
-    /// A call that must run at most once is never retried, even if it was refused
-    /// as not run: its claim is bound to the attempt, and the caller repeats the
-    /// call with its idempotency key.
+    /// [`WorkKind::Once`] is never retried, even if the attempt was refused as not
+    /// run: the claim is bound to the attempt, and the caller repeats the call with
+    /// its idempotency key. If nothing was claimed, pass [`WorkKind::Call`].
     pub fn retry(&mut self, work: WorkKind, progress: Progress) -> Retry {
         let retry = match (work, progress) {
             (WorkKind::Once, _) => return Retry::Never,
