--- a/kingcupbay_core/src/route/holders.rs
+++ b/kingcupbay_core/src/route/holders.rs
@@ -66,8 +66,8 @@
 
     /// Removes a deleted upstream from the holders of every version.
     pub(super) fn remove_upstream(&mut self, index: UpstreamIndex) {
-        let held = |list: &Vec<Holder>| list.iter().any(|holder| holder.index == index);
-        let versions = self.by_version.iter().filter(|(_, list)| held(list));
+        let is_holder = |list: &Vec<Holder>| list.iter().any(|holder| holder.index == index);
+        let versions = self.by_version.iter().filter(|(_, list)| is_holder(list));
         let versions: Vec<VersionId> = versions.map(|(&version, _)| version).collect();
         for version in versions {
             self.remove(version, index);
@@ -77,8 +77,8 @@
     /// Removes the expectation that the upstream loads `version`, unless a report
     /// has shown the version there.
     pub(super) fn remove_expected(&mut self, version: VersionId, index: UpstreamIndex) {
-        let held = self.get(version).iter().find(|holder| holder.index == index);
-        if held.is_some_and(|holder| holder.expires.is_some()) {
+        let holder = self.get(version).iter().find(|holder| holder.index == index);
+        if holder.is_some_and(|holder| holder.expires.is_some()) {
             self.remove(version, index);
         }
     }
@@ -90,9 +90,9 @@
                 return;
             }
             self.expected.pop_front();
-            let held = self.get(version).iter().find(|holder| holder.index == index);
+            let holder = self.get(version).iter().find(|holder| holder.index == index);
             // A later expectation for the same pair expires on its own.
-            if held.is_some_and(|holder| holder.expires == Some(until)) {
+            if holder.is_some_and(|holder| holder.expires == Some(until)) {
                 self.remove(version, index);
             }
         }
--- a/kingcupbay_core/src/route/router.rs
+++ b/kingcupbay_core/src/route/router.rs
@@ -172,7 +172,7 @@
     /// Returns the upstreams that hold `version` or are expected to load it.
     pub fn holders(&self, version: VersionId) -> Vec<UpstreamId> {
         let upstreams =
-            self.holders.get(version).iter().filter_map(|held| self.upstream(held.index));
+            self.holders.get(version).iter().filter_map(|holder| self.upstream(holder.index));
         upstreams.map(|state| state.id).collect()
     }
 
--- a/kingcupbay_core/src/slot/mod.rs
+++ b/kingcupbay_core/src/slot/mod.rs
@@ -3,8 +3,8 @@
 //! One daemon owns the slots of an engine, so no coordination with other
 //! daemons is needed. [`Slots::plan`] turns the versions that requests wait
 //! for into orders; [`Slots::pin`] keeps the version of a running request
-//! loaded. An unload order consumes the residency (see [`pin`]) and is
-//! possible only while no request shares it, so a version in use is never
+//! loaded. An unload order takes ownership of the version's residency, which is
+//! possible only while no [`Pin`] shares it, so a version in use is never
 //! unloaded.
 //!
 //! The engine's messages may arrive late: answers are matched to orders by
