--- a/kingcupbayd/src/gateway/mod.rs
+++ b/kingcupbayd/src/gateway/mod.rs
@@ -121,7 +121,7 @@
 /// Answers one request of a caller.
 pub(crate) async fn handle(gateway: Rc<Gateway>, mut request: Request) -> Response<BoxBody> {
     let arrived = clock::now();
-    let ask = request::decode(request.headers());
+    let ask = request::decode_headers(request.headers());
     let Some(deployment) = gateway.node.deployment() else {
         return refuse(
             &gateway,
--- a/kingcupbayd/src/gateway/reply.rs
+++ b/kingcupbayd/src/gateway/reply.rs
@@ -61,7 +61,7 @@
     let mut builder = ResponseBuilder::new(refusal.status());
     builder.insert_header((header::CONTENT_TYPE, "application/json"));
     if let Some(attempt) = &ask.attempt {
-        builder.insert_header((request::ATTEMPT, attempt.as_str()));
+        builder.insert_header((request::ATTEMPT_ID, attempt.as_str()));
     }
     if let Some(after) = refusal.after {
         builder.insert_header((header::RETRY_AFTER, format!("{:.3}", after.as_secs_f64())));
@@ -88,7 +88,7 @@
     headers: &header::HeaderMap,
 ) -> ResponseBuilder {
     let mut builder = ResponseBuilder::new(status);
-    for (name, value) in answer::encode(headers) {
+    for (name, value) in answer::filter_headers(headers) {
         builder.append_header((name, value));
     }
     close_if_leaving(gateway, &mut builder);
--- a/kingcupbayd/src/gateway/send.rs
+++ b/kingcupbayd/src/gateway/send.rs
@@ -56,10 +56,10 @@
         priority: extra.priority,
         last_event: extra.last_event,
     };
-    let headers = request::encode(&job.headers, &given);
+    let headers = request::encode_headers(&job.headers, &given);
     let mut head = link.exchange(job.method.clone(), &job.path, headers, &job.body).await?;
     for _ in 0..CROSSED_MAX {
-        let said = answer::decode(head.status.as_u16(), &head.headers);
+        let said = answer::decode_headers(head.status.as_u16(), &head.headers);
         if is_own(job, &said) {
             return Ok(Sent { link, head, said });
         }
--- a/kingcupbayd/src/registered/follow.rs
+++ b/kingcupbayd/src/registered/follow.rs
@@ -13,7 +13,7 @@
 };
 use kingcupbay_platform::{
     operator, registration,
-    store::{OPERATOR, UPSTREAMS},
+    store::{OPERATOR_TABLE, UPSTREAM_TABLE},
 };
 use slog::{error, info, warn};
 
@@ -24,8 +24,8 @@
 
 fn name(table: Table) -> &'static str {
     match table {
-        Table::Operator => OPERATOR,
-        Table::Upstreams => UPSTREAMS,
+        Table::Operator => OPERATOR_TABLE,
+        Table::Upstreams => UPSTREAM_TABLE,
         Table::Entries => ENTRIES,
     }
 }
@@ -212,7 +212,7 @@
         }
         Table::Upstreams => {
             let instances = rows.iter().filter_map(|row| {
-                let read = registration::instance(row);
+                let read = registration::decode_instance(row);
                 read.inspect_err(|error| unreadable(node, &row.key, error)).ok()
             });
             let instances: Vec<_> = instances.collect();
@@ -256,7 +256,7 @@
             take_operator(node, change);
             None
         }
-        (Table::Upstreams, Change::Put(row)) => match registration::instance(&row) {
+        (Table::Upstreams, Change::Put(row)) => match registration::decode_instance(&row) {
             Ok(instance) => {
                 info!(node.log, ""; "event" => "upstream", "id" => &instance.id,
                     "address" => %instance.address, "leaving" => instance.leaving,
@@ -311,8 +311,8 @@
 }
 
 fn on_operator_row(node: &Rc<Node>, row: &Row) {
-    if row.key.key == operator::CONFIG {
-        match operator::config(&row.value) {
+    if row.key.key == operator::CONFIG_KEY {
+        match operator::decode_config(&row.value) {
             Ok(next) => {
                 let number = next.number.0;
                 let (routes, organisations) = (next.routes.len(), next.organisations.len());
@@ -324,8 +324,8 @@
             Err(error) => error!(node.log, ""; "event" => "configuration_unreadable",
                 "error" => %error, "version" => row.version),
         }
-    } else if row.key.key.starts_with(operator::VERSION) {
-        match operator::version(&row.value) {
+    } else if row.key.key.starts_with(operator::VERSION_KEY_PREFIX) {
+        match operator::decode_version(&row.value) {
             Ok((name, version)) => {
                 let adapter = name.adapter.clone().unwrap_or_default();
                 let taken = node.catalogue.borrow_mut().on_version(name, version);
--- a/kingcupbayd/src/registered/store.rs
+++ b/kingcupbayd/src/registered/store.rs
@@ -8,7 +8,7 @@
     time::{Instant, Span},
     wire::rows::{Page, Txn, TxnAnswer},
 };
-use kingcupbay_platform::{Call, DecodeError, store as encode};
+use kingcupbay_platform::{Call, DecodeError, store as platform};
 use prometheus::IntCounterVec;
 use slog::{Logger, info, warn};
 use thiserror::Error;
@@ -70,8 +70,8 @@
     /// Rows of `table` from the key `from` on.
     pub(crate) async fn read(&self, table: &str, from: &str) -> Result<Page, StoreError> {
         self.calls.with_label_values(&["read", table]).inc();
-        let answer = self.call(&encode::read(table, from), ANSWER).await?;
-        Ok(encode::page(&answer.body)?)
+        let answer = self.call(&platform::encode_read(table, from), ANSWER).await?;
+        Ok(platform::decode_page(&answer.body)?)
     }
 
     /// What has changed in `table` after version `after`; waits up to `wait`
@@ -83,16 +83,16 @@
         wait: Span,
     ) -> Result<Page, StoreError> {
         self.calls.with_label_values(&["feed", table]).inc();
-        let answer = self.call(&encode::feed(table, after, wait), wait + ANSWER).await?;
-        Ok(encode::page(&answer.body)?)
+        let answer = self.call(&platform::encode_feed(table, after, wait), wait + ANSWER).await?;
+        Ok(platform::decode_page(&answer.body)?)
     }
 
     /// Runs a transaction.
     pub(crate) async fn transact(&self, txn: &Txn) -> Result<TxnAnswer, StoreError> {
         let table = txn.writes.first().map_or("", |(row, _)| &row.table);
         self.calls.with_label_values(&["transact", table]).inc();
-        let answer = self.call(&encode::transact(txn), ANSWER).await?;
-        Ok(encode::transacted(answer.status == 412, &answer.body)?)
+        let answer = self.call(&platform::encode_transaction(txn), ANSWER).await?;
+        Ok(platform::decode_transaction(answer.status == 412, &answer.body)?)
     }
 
     async fn call(&self, call: &Call, time: Span) -> Result<Answer, StoreError> {
--- a/kingcupbayd/src/sidecar/engine.rs
+++ b/kingcupbayd/src/sidecar/engine.rs
@@ -10,7 +10,7 @@
     },
     time::Span,
 };
-use kingcupbay_platform::engine as encode;
+use kingcupbay_platform::engine as platform;
 use slog::{info, warn};
 
 use crate::{clock, sidecar::Sidecar};
@@ -62,14 +62,14 @@
 }
 
 async fn report(sidecar: &Rc<Sidecar>) -> Result<(), String> {
-    let call = encode::ask();
+    let call = platform::encode_report_request();
     let pool = &sidecar.node.pool;
     let called = pool.call(sidecar.engine, Method::GET, &call.path, &[], REPORT).await;
     let answer = called.map_err(|error| error.to_string())?;
     if answer.status != 200 {
         return Err(format!("status {}", answer.status));
     }
-    let report = encode::report(&answer.body).map_err(|error| error.to_string())?;
+    let report = platform::decode_report(&answer.body).map_err(|error| error.to_string())?;
     note_report(sidecar, &report);
     let actions = sidecar.admission.borrow_mut().on_report(clock::now(), report);
     sidecar.perform(actions);
@@ -93,11 +93,11 @@
 
 /// Gives the engine an order.
 pub(crate) async fn order(sidecar: Rc<Sidecar>, order: Order) {
-    let call = encode::order(&order);
+    let call = platform::encode_order(&order);
     let pool = &sidecar.node.pool;
     let called = pool.call(sidecar.engine, Method::POST, &call.path, &call.body, ORDER).await;
     let reply = match &called {
-        Ok(answer) => encode::ordered(answer.status),
+        Ok(answer) => platform::decode_order_status(answer.status),
         Err(_) => Reply::Unknown,
     };
     sidecar.metrics.on_order(order.target, reply);
