--- a/extra/completions/kingcupbay.fish
+++ b/extra/completions/kingcupbay.fish
@@ -25,7 +25,7 @@
 end
 
 complete -c kingcupbay -n "__fish_kingcupbay_needs_command" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_needs_command" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_needs_command" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_needs_command" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_needs_command" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_needs_command" -s V -l version -d 'Print version'
@@ -47,7 +47,7 @@
 complete -c kingcupbay -n "__fish_kingcupbay_needs_command" -f -a "man" -d 'Write the man page'
 complete -c kingcupbay -n "__fish_kingcupbay_needs_command" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and not __fish_seen_subcommand_from set remove list help" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and not __fish_seen_subcommand_from set remove list help" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and not __fish_seen_subcommand_from set remove list help" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and not __fish_seen_subcommand_from set remove list help" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and not __fish_seen_subcommand_from set remove list help" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and not __fish_seen_subcommand_from set remove list help" -f -a "set" -d 'Make or change an organisation'
@@ -55,19 +55,19 @@
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and not __fish_seen_subcommand_from set remove list help" -f -a "list" -d 'List organisations'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and not __fish_seen_subcommand_from set remove list help" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from set" -l rate -d 'Tokens a second' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from set" -l burst -d 'Tokens at once' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from set" -l against -d 'Refuse unless this number is in force; else the one read just before' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from set" -l burst -d 'Tokens that may be used at once' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from set" -l against -d 'Refuse unless this configuration number is in force; by default the one just read' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from set" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from set" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from set" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from set" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from set" -s h -l help -d 'Print help'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from remove" -l against -d 'Refuse unless this number is in force; else the one read just before' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from remove" -l against -d 'Refuse unless this configuration number is in force; by default the one just read' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from remove" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from remove" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from remove" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from remove" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from remove" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from list" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from list" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from list" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from list" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from list" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from help" -f -a "set" -d 'Make or change an organisation'
@@ -75,56 +75,56 @@
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from help" -f -a "list" -d 'List organisations'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand organisation; and __fish_seen_subcommand_from help" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and not __fish_seen_subcommand_from issue withdraw list help" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and not __fish_seen_subcommand_from issue withdraw list help" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and not __fish_seen_subcommand_from issue withdraw list help" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and not __fish_seen_subcommand_from issue withdraw list help" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and not __fish_seen_subcommand_from issue withdraw list help" -s h -l help -d 'Print help'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and not __fish_seen_subcommand_from issue withdraw list help" -f -a "issue" -d 'Draw a key and show it, this once only'
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and not __fish_seen_subcommand_from issue withdraw list help" -f -a "issue" -d 'Generate a key and show it, this once only'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and not __fish_seen_subcommand_from issue withdraw list help" -f -a "withdraw" -d 'Withdraw a key'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and not __fish_seen_subcommand_from issue withdraw list help" -f -a "list" -d 'List keys; the secrets are nowhere'
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and not __fish_seen_subcommand_from issue withdraw list help" -f -a "list" -d 'List keys; their secrets are not stored'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and not __fish_seen_subcommand_from issue withdraw list help" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from issue" -l organisation -d 'Whose key' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from issue" -l against -d 'Refuse unless this number is in force; else the one read just before' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from issue" -l organisation -d 'Organisation that owns it' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from issue" -l against -d 'Refuse unless this configuration number is in force; by default the one just read' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from issue" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from issue" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from issue" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from issue" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from issue" -s h -l help -d 'Print help'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from withdraw" -l against -d 'Refuse unless this number is in force; else the one read just before' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from withdraw" -l against -d 'Refuse unless this configuration number is in force; by default the one just read' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from withdraw" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from withdraw" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from withdraw" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from withdraw" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from withdraw" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from list" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from list" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from list" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from list" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from list" -s h -l help -d 'Print help'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from help" -f -a "issue" -d 'Draw a key and show it, this once only'
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from help" -f -a "issue" -d 'Generate a key and show it, this once only'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from help" -f -a "withdraw" -d 'Withdraw a key'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from help" -f -a "list" -d 'List keys; the secrets are nowhere'
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from help" -f -a "list" -d 'List keys; their secrets are not stored'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand key; and __fish_seen_subcommand_from help" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and not __fish_seen_subcommand_from set remove list help" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and not __fish_seen_subcommand_from set remove list help" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and not __fish_seen_subcommand_from set remove list help" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and not __fish_seen_subcommand_from set remove list help" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and not __fish_seen_subcommand_from set remove list help" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and not __fish_seen_subcommand_from set remove list help" -f -a "set" -d 'Make or change an adapter'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and not __fish_seen_subcommand_from set remove list help" -f -a "remove" -d 'Remove an adapter with all its versions'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and not __fish_seen_subcommand_from set remove list help" -f -a "list" -d 'List adapters'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and not __fish_seen_subcommand_from set remove list help" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from set" -l organisation -d 'Whose adapter; it stays' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from set" -l organisation -d 'Organisation that owns it; cannot be changed' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from set" -l base -d 'Base model' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from set" -l default -d 'Version that the bare name means; kept when not given' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from set" -l against -d 'Refuse unless this number is in force; else the one read just before' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from set" -l default -d 'Version used for the name without a label; kept when not given' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from set" -l against -d 'Refuse unless this configuration number is in force; by default the one just read' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from set" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from set" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from set" -l no-default -d 'Let the bare name mean no version'
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from set" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from set" -l no-default -d 'Use no version for the name without a label'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from set" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from set" -s h -l help -d 'Print help'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from remove" -l against -d 'Refuse unless this number is in force; else the one read just before' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from remove" -l against -d 'Refuse unless this configuration number is in force; by default the one just read' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from remove" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from remove" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from remove" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from remove" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from remove" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from list" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from list" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from list" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from list" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from list" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from help" -f -a "set" -d 'Make or change an adapter'
@@ -132,7 +132,7 @@
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from help" -f -a "list" -d 'List adapters'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand adapter; and __fish_seen_subcommand_from help" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and not __fish_seen_subcommand_from add remove list help" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and not __fish_seen_subcommand_from add remove list help" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and not __fish_seen_subcommand_from add remove list help" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and not __fish_seen_subcommand_from add remove list help" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and not __fish_seen_subcommand_from add remove list help" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and not __fish_seen_subcommand_from add remove list help" -f -a "add" -d 'Add a version to an adapter; its source never changes'
@@ -140,18 +140,18 @@
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and not __fish_seen_subcommand_from add remove list help" -f -a "list" -d 'List versions'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and not __fish_seen_subcommand_from add remove list help" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from add" -l source -d 'Where the weight store keeps it' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from add" -l against -d 'Refuse unless this number is in force; else the one read just before' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from add" -l against -d 'Refuse unless this configuration number is in force; by default the one just read' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from add" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from add" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from add" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from add" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from add" -s h -l help -d 'Print help'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from remove" -l against -d 'Refuse unless this number is in force; else the one read just before' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from remove" -l against -d 'Refuse unless this configuration number is in force; by default the one just read' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from remove" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from remove" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from remove" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from remove" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from remove" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from list" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from list" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from list" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from list" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from list" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from help" -f -a "add" -d 'Add a version to an adapter; its source never changes'
@@ -159,7 +159,7 @@
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from help" -f -a "list" -d 'List versions'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand version; and __fish_seen_subcommand_from help" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and not __fish_seen_subcommand_from set leave remove list help" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and not __fish_seen_subcommand_from set leave remove list help" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and not __fish_seen_subcommand_from set leave remove list help" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and not __fish_seen_subcommand_from set leave remove list help" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and not __fish_seen_subcommand_from set leave remove list help" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and not __fish_seen_subcommand_from set leave remove list help" -f -a "set" -d 'Make or change an upstream'
@@ -177,23 +177,23 @@
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from set" -l service -d 'Plain service that it serves, as routes name it' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from set" -l leaving -d 'Whether it gets no new work; kept when not given' -r -f -a "true\t''
 false\t''"
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from set" -l against -d 'Refuse unless this number is in force; else the one read just before' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from set" -l against -d 'Refuse unless this configuration number is in force; by default the one just read' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from set" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from set" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from set" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from set" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from set" -s h -l help -d 'Print help'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from leave" -l against -d 'Refuse unless this number is in force; else the one read just before' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from leave" -l against -d 'Refuse unless this configuration number is in force; by default the one just read' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from leave" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from leave" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from leave" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from leave" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from leave" -s h -l help -d 'Print help'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from remove" -l against -d 'Refuse unless this number is in force; else the one read just before' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from remove" -l against -d 'Refuse unless this configuration number is in force; by default the one just read' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from remove" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from remove" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from remove" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from remove" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from remove" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from list" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from list" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from list" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from list" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from list" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from help" -f -a "set" -d 'Make or change an upstream'
@@ -202,29 +202,29 @@
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from help" -f -a "list" -d 'List upstreams'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand upstream; and __fish_seen_subcommand_from help" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and not __fish_seen_subcommand_from set remove list help" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and not __fish_seen_subcommand_from set remove list help" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and not __fish_seen_subcommand_from set remove list help" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and not __fish_seen_subcommand_from set remove list help" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and not __fish_seen_subcommand_from set remove list help" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and not __fish_seen_subcommand_from set remove list help" -f -a "set" -d 'Make or change a route'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and not __fish_seen_subcommand_from set remove list help" -f -a "remove" -d 'Remove a route'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and not __fish_seen_subcommand_from set remove list help" -f -a "list" -d 'List routes'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and not __fish_seen_subcommand_from set remove list help" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from set" -l organisation -d 'Who may use it' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from set" -l organisation -d 'Organisation that may use it' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from set" -l service -d 'Service behind it' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from set" -l once -d 'Whether a call runs at most once' -r -f -a "true\t''
 false\t''"
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from set" -l against -d 'Refuse unless this number is in force; else the one read just before' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from set" -l against -d 'Refuse unless this configuration number is in force; by default the one just read' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from set" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from set" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from set" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from set" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from set" -s h -l help -d 'Print help'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from remove" -l against -d 'Refuse unless this number is in force; else the one read just before' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from remove" -l against -d 'Refuse unless this configuration number is in force; by default the one just read' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from remove" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from remove" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from remove" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from remove" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from remove" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from list" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from list" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from list" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from list" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from list" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from help" -f -a "set" -d 'Make or change a route'
@@ -232,60 +232,60 @@
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from help" -f -a "list" -d 'List routes'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand route; and __fish_seen_subcommand_from help" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and not __fish_seen_subcommand_from leave list help" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and not __fish_seen_subcommand_from leave list help" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and not __fish_seen_subcommand_from leave list help" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and not __fish_seen_subcommand_from leave list help" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and not __fish_seen_subcommand_from leave list help" -s h -l help -d 'Print help'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and not __fish_seen_subcommand_from leave list help" -f -a "leave" -d 'Take out a daemon that is gone for good'
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and not __fish_seen_subcommand_from leave list help" -f -a "leave" -d 'Remove a daemon that is gone for good'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and not __fish_seen_subcommand_from leave list help" -f -a "list" -d 'List members'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and not __fish_seen_subcommand_from leave list help" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from leave" -l against -d 'Refuse unless this number is in force; else the one read just before' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from leave" -l against -d 'Refuse unless this configuration number is in force; by default the one just read' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from leave" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from leave" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from leave" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from leave" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from leave" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from list" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from list" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from list" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from list" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from list" -s h -l help -d 'Print help'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from help" -f -a "leave" -d 'Take out a daemon that is gone for good'
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from help" -f -a "leave" -d 'Remove a daemon that is gone for good'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from help" -f -a "list" -d 'List members'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand member; and __fish_seen_subcommand_from help" -f -a "help" -d 'Print this message or the help of the given subcommand(s)'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand plan" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand plan" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand plan" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand plan" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand plan" -s h -l help -d 'Print help'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand apply" -l against -d 'Number that was planned against' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand apply" -l against -d 'Configuration number that the plan was made against' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand apply" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand apply" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand apply" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand apply" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand apply" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand export" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand export" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand export" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand export" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand export" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand diff" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand diff" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand diff" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand diff" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand diff" -s h -l help -d 'Print help'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand history" -l after -d 'Only those that made numbers above this one' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand history" -l after -d 'Only those that made configuration numbers above this one' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand history" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand history" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand history" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand history" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand history" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand status" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand status" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand status" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand status" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand status" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand dump" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand dump" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand dump" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand dump" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand dump" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand completions" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand completions" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand completions" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand completions" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand completions" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand man" -l daemon -d 'Operators\' port of a daemon; repeat it to name others that are asked when one cannot be reached' -r
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand man" -l author -d 'Who makes the change, for the history; else the environment\'s USER' -r
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand man" -l author -d 'Author of the change, for the history; by default the environment\'s USER' -r
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand man" -l json -d 'Print JSON, errors too'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand man" -s h -l help -d 'Print help'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and not __fish_seen_subcommand_from organisation key adapter version upstream route member plan apply export diff history status dump completions man help" -f -a "organisation" -d 'Organisations and their rates'
@@ -308,9 +308,9 @@
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from organisation" -f -a "set" -d 'Make or change an organisation'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from organisation" -f -a "remove" -d 'Remove an organisation that nothing refers to'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from organisation" -f -a "list" -d 'List organisations'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from key" -f -a "issue" -d 'Draw a key and show it, this once only'
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from key" -f -a "issue" -d 'Generate a key and show it, this once only'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from key" -f -a "withdraw" -d 'Withdraw a key'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from key" -f -a "list" -d 'List keys; the secrets are nowhere'
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from key" -f -a "list" -d 'List keys; their secrets are not stored'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from adapter" -f -a "set" -d 'Make or change an adapter'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from adapter" -f -a "remove" -d 'Remove an adapter with all its versions'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from adapter" -f -a "list" -d 'List adapters'
@@ -324,5 +324,5 @@
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from route" -f -a "set" -d 'Make or change a route'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from route" -f -a "remove" -d 'Remove a route'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from route" -f -a "list" -d 'List routes'
-complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from member" -f -a "leave" -d 'Take out a daemon that is gone for good'
+complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from member" -f -a "leave" -d 'Remove a daemon that is gone for good'
 complete -c kingcupbay -n "__fish_kingcupbay_using_subcommand help; and __fish_seen_subcommand_from member" -f -a "list" -d 'List members'
--- a/kingcupbay/src/adapter.rs
+++ b/kingcupbay/src/adapter.rs
@@ -20,7 +20,7 @@
         /// Its name, unique over all organisations
         name: Name,
 
-        /// Whose adapter; it stays
+        /// Organisation that owns it; cannot be changed
         #[arg(long)]
         organisation: Name,
 
@@ -28,11 +28,11 @@
         #[arg(long)]
         base: Name,
 
-        /// Version that the bare name means; kept when not given
+        /// Version used for the name without a label; kept when not given
         #[arg(long, value_name = "LABEL")]
         default: Option<Name>,
 
-        /// Let the bare name mean no version
+        /// Use no version for the name without a label
         #[arg(long, conflicts_with = "default")]
         no_default: bool,
 
@@ -53,7 +53,7 @@
     List,
 }
 
-/// An adapter as listed.
+/// Row of the list of adapters.
 #[derive(Serialize)]
 struct Row {
     name: Name,
@@ -63,14 +63,16 @@
     versions: Vec<Name>,
 }
 
+/// Runs a command on adapters and returns the text to print.
 pub(crate) async fn run(session: &Session, command: AdapterCommand) -> Result<String, Error> {
     let (change, against) = match command {
         AdapterCommand::Set { name, organisation, base, default, no_default, mut against } => {
             let kept = match default.is_some() || no_default {
                 true => None,
                 false => {
-                    // What is kept holds for the number it was read at.
-                    let config = session.client.config().await?;
+                    // The kept value is valid only for the number at which it was
+                    // read.
+                    let config = session.client.read_config().await?;
                     against.against.get_or_insert(config.number.0);
                     let mut adapters = Declaration::of(&config).adapters;
                     adapters.remove(&name).and_then(|old| old.default)
@@ -80,13 +82,13 @@
             (Change::SetAdapter { name, organisation, base, default }, against)
         }
         AdapterCommand::Remove { name, against } => (Change::RemoveAdapter { name }, against),
-        AdapterCommand::List => return list(session).await,
+        AdapterCommand::List => return list_adapters(session).await,
     };
-    Ok(session.taken(session.change(against, change).await?))
+    Ok(session.format_taken(session.post_change(against, change).await?))
 }
 
-async fn list(session: &Session) -> Result<String, Error> {
-    let config = Declaration::of(&session.client.config().await?);
+async fn list_adapters(session: &Session) -> Result<String, Error> {
+    let config = Declaration::of(&session.client.read_config().await?);
     let rows = config.adapters.iter().map(|(name, row)| Row {
         name: name.clone(),
         organisation: row.organisation.clone(),
@@ -106,5 +108,5 @@
         Column("default", |row| or_dash(row.default.as_ref())),
         Column("versions", |row| row.versions.len().to_string()),
     ];
-    Ok(session.list(&rows.collect::<Vec<_>>(), &columns))
+    Ok(session.format_list(&rows.collect::<Vec<_>>(), &columns))
 }
--- a/kingcupbay/src/args.rs
+++ b/kingcupbay/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Definition of the command line.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -12,14 +12,14 @@
     version::VersionCommand,
 };
 
-/// Shown below `--help` and in the man page.
-const EXIT_CODES: &str = "\
+/// Text shown below `--help` and in the man page.
+const AFTER_HELP: &str = "\
 Environment:
   KINGCUPBAY_DAEMON  daemons to ask when no --daemon is given, IP:PORT, separated by commas
 
 Exit codes:
   0  done
-  1  refused: a declaration or change does not check, or no such host; nothing changed
+  1  refused: a declaration or change is not valid, or no such host; nothing changed
   2  usage: the command line or a file cannot be read
   3  stale: made against another number than the one in force, which is printed; nothing changed
   4  unreachable: no daemon could be asked, or none could reach the table; nothing changed
@@ -29,7 +29,7 @@
 /// the daemons' state.
 #[derive(Debug)]
 #[derive(Parser)]
-#[command(name = "kingcupbay", version, after_help = EXIT_CODES)]
+#[command(name = "kingcupbay", version, after_help = AFTER_HELP)]
 pub(crate) struct Args {
     /// Operators' port of a daemon; repeat it to name others that are asked
     /// when one cannot be reached
@@ -40,7 +40,7 @@
     #[arg(long, global = true)]
     pub(crate) json: bool,
 
-    /// Who makes the change, for the history; else the environment's USER
+    /// Author of the change, for the history; by default the environment's USER
     #[arg(long, global = true, value_name = "NAME")]
     pub(crate) author: Option<String>,
 
@@ -89,7 +89,7 @@
 
     /// Make the configuration what files declare, whole or not at all
     Apply {
-        /// Number that was planned against
+        /// Configuration number that the plan was made against
         #[arg(long, value_name = "N")]
         against: u64,
 
@@ -110,7 +110,7 @@
 
     /// Show the patches that were taken
     History {
-        /// Only those that made numbers above this one
+        /// Only those that made configuration numbers above this one
         #[arg(long, value_name = "N", default_value_t = 0)]
         after: u64,
     },
@@ -120,7 +120,7 @@
 
     /// Show a daemon's whole state
     Dump {
-        /// Host whose daemon is meant; else the daemon that is asked
+        /// Host of the daemon; by default the daemon that is asked
         host: Option<Name>,
     },
 
--- a/kingcupbay/src/client.rs
+++ b/kingcupbay/src/client.rs
@@ -1,4 +1,5 @@
-//! Speaks to the operators' ports of daemons, one after the other.
+//! HTTP client for the operators' ports of daemons. It asks the daemons one after
+//! the other.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -19,80 +20,92 @@
 
 use crate::error::Error;
 
-/// A host that is gone must not hold an operator up.
-const CONNECT: Duration = Duration::from_secs(2);
+/// Timeout of connecting, so that a host that is down delays the operator only
+/// briefly.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longer than a patch may take to reach a majority.
-const ANSWER: Duration = Duration::from_secs(20);
+/// Timeout of an answer. It exceeds the time that a patch may take to reach a
+/// majority.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A configuration of 67,000 adapters is some tens of megabytes.
-const ANSWER_MAX: usize = 256 << 20;
+/// Maximum size of an answer in bytes. A configuration of 67,000 adapters takes
+/// some tens of megabytes.
+const ANSWER_BYTES_MAX: usize = 256 << 20;
 
-/// How often every daemon is tried with the same patch.
-const ROUNDS: u32 = 3;
+/// Maximum number of rounds in which the same patch is sent to every daemon.
+const ROUNDS_MAX: u32 = 3;
 
-/// Between two rounds, so that a daemon may reach the table again.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Delay between two rounds, in which a daemon may reach the table again.
+const ROUND_DELAY: Duration = Duration::from_millis(300);
 
-/// The daemons that may be asked.
+/// Client for the daemons that the operator named.
 pub(crate) struct Client {
     daemons: Vec<SocketAddr>,
     http: awc::Client,
 }
 
-/// Why one exchange with one daemon brought no answer.
-enum Failed {
-    /// No byte of the request left.
+/// Failure of one HTTP exchange with one daemon.
+enum ExchangeError {
+    /// No byte of the request was sent.
     NotSent(String),
-    /// The request may have been read.
-    Lost(String),
+    /// No complete answer came; the daemon may have received the request.
+    AnswerLost(String),
 }
 
-/// What one daemon made of a patch.
-enum Posted {
-    /// A final answer.
-    Answer(Result<Taken, PatchError>),
-    /// This daemon took nothing to the table.
-    Not(String),
-    /// The patch may be in the table.
-    Maybe(String),
+/// Result of sending a patch to one daemon.
+enum PostResult {
+    /// The daemon gave a final answer.
+    Final(Result<Taken, PatchError>),
+    /// The daemon wrote nothing to the table.
+    NotTaken(String),
+    /// The patch may or may not be in the table.
+    Unknown(String),
 }
 
 impl Client {
+    /// Creates a client that asks `daemons` in this order.
     pub(crate) fn new(daemons: Vec<SocketAddr>) -> Client {
-        let connector = awc::Connector::new().timeout(CONNECT);
-        let http = awc::Client::builder().connector(connector).timeout(ANSWER).finish();
+        let connector = awc::Connector::new().timeout(CONNECT_TIMEOUT);
+        let http = awc::Client::builder().connector(connector).timeout(ANSWER_TIMEOUT).finish();
         Client { daemons, http }
     }
 
-    /// The configuration in force.
-    pub(crate) async fn config(&self) -> Result<Config, Error> {
-        self.read(admin::CONFIG_PATH).await
+    /// Reads the configuration in force.
+    pub(crate) async fn read_config(&self) -> Result<Config, Error> {
+        self.read_json(admin::CONFIG_PATH).await
     }
 
-    /// The patches that made numbers above `after`.
-    pub(crate) async fn history(&self, after: Number) -> Result<History, Error> {
-        self.read(&format!("{}?after={after}", admin::HISTORY_PATH)).await
+    /// Reads the patches that made configuration numbers above `after`.
+    pub(crate) async fn read_history(&self, after: Number) -> Result<History, Error> {
+        self.read_json(&format!("{}?after={after}", admin::HISTORY_PATH)).await
     }
 
-    /// The JSON under `path` from the first daemon that gives it.
-    pub(crate) async fn read<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
-        self.first(path, |body| serde_json::from_slice(body).map_err(|error| error.to_string()))
-            .await
+    /// Reads the JSON at `path` from the first daemon that returns it.
+    pub(crate) async fn read_json<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
+        self.read_first(path, |body| {
+            serde_json::from_slice(body).map_err(|error| error.to_string())
+        })
+        .await
     }
 
-    /// The text under `path` from the first daemon that gives it.
-    pub(crate) async fn text(&self, path: &str) -> Result<String, Error> {
-        self.first(path, |body| Ok(String::from_utf8_lossy(body).into_owned())).await
+    /// Reads the text at `path` from the first daemon that returns it.
+    pub(crate) async fn read_text(&self, path: &str) -> Result<String, Error> {
+        self.read_first(path, |body| Ok(String::from_utf8_lossy(body).into_owned())).await
     }
 
-    async fn first<T>(
+    /// Reads and parses `path` from the first daemon for which both succeed.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::NotFound`] if all fail and one of them answered 404,
+    /// [`Error::Unreachable`] if all fail otherwise.
+    async fn read_first<T>(
         &self,
         path: &str,
         parse: impl Fn(&[u8]) -> Result<T, String>,
     ) -> Result<T, Error> {
         let mut attempts = Vec::new();
-        let mut absent = None;
+        let mut not_found = None;
         for &daemon in &self.daemons {
             let problem = match self.exchange(daemon, Method::GET, path, Vec::new()).await {
                 Ok((StatusCode::OK, body)) => match parse(&body) {
@@ -100,106 +113,119 @@
                     Err(problem) => problem,
                 },
                 Ok((status, body)) => {
-                    let problem = message(&body);
-                    // Another daemon may know of it already.
+                    let problem = error_message(&body);
+                    // Another daemon may have the item already.
                     if status == StatusCode::NOT_FOUND {
-                        absent.get_or_insert(problem.clone());
+                        not_found.get_or_insert(problem.clone());
                     }
                     format!("{status}: {problem}")
                 }
-                Err(Failed::NotSent(problem) | Failed::Lost(problem)) => problem,
+                Err(ExchangeError::NotSent(problem) | ExchangeError::AnswerLost(problem)) => {
+                    problem
+                }
             };
             attempts.push(format!("{daemon}: {problem}"));
         }
-        Err(absent.map_or(Error::Unreachable(attempts), Error::Absent))
+        Err(not_found.map_or(Error::Unreachable(attempts), Error::NotFound))
     }
 
-    /// Has `patch` taken, or learns that it is not.
+    /// Posts `patch` and returns its result.
     ///
     /// An answer may be lost after the patch took effect. The same patch is
-    /// then posted again, to the next daemon too: it is known by its id, so a
-    /// repeat is answered as the first time and never taken twice.
-    pub(crate) async fn post(&self, patch: &Patch) -> Result<Taken, Error> {
+    /// then posted again, to the next daemon too. Daemons recognise it by its
+    /// id, so a repeat gets the same answer as the first post and the patch is
+    /// never taken twice.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::OutcomeUnknown`] if the patch may be in the table,
+    /// [`Error::Unreachable`] if no daemon wrote it, and otherwise the reason for
+    /// which it was refused.
+    pub(crate) async fn post_patch(&self, patch: &Patch) -> Result<Taken, Error> {
         let body = serde_json::to_vec(patch).expect("a patch is JSON");
         let mut attempts = Vec::new();
-        let mut maybe = false;
-        for round in 0..ROUNDS {
+        let mut unknown = false;
+        for round in 0..ROUNDS_MAX {
             if round > 0 {
-                actix_rt::time::sleep(PAUSE).await;
+                actix_rt::time::sleep(ROUND_DELAY).await;
             }
             for &daemon in &self.daemons {
-                match self.post_once(daemon, body.clone()).await {
-                    Posted::Answer(Ok(taken)) => return Ok(taken),
-                    Posted::Answer(Err(PatchError::Stale { against, current })) if maybe => {
-                        return self.resolve(patch, against, current, attempts).await;
+                match self.post_patch_once(daemon, body.clone()).await {
+                    PostResult::Final(Ok(taken)) => return Ok(taken),
+                    PostResult::Final(Err(PatchError::Stale { against, current })) if unknown => {
+                        return self.resolve_stale(patch, against, current, attempts).await;
                     }
-                    Posted::Answer(Err(error)) => return Err(error.into()),
-                    Posted::Not(problem) => note(&mut attempts, daemon, &problem),
-                    Posted::Maybe(problem) => {
-                        maybe = true;
-                        note(&mut attempts, daemon, &problem);
+                    PostResult::Final(Err(error)) => return Err(error.into()),
+                    PostResult::NotTaken(problem) => add_attempt(&mut attempts, daemon, &problem),
+                    PostResult::Unknown(problem) => {
+                        unknown = true;
+                        add_attempt(&mut attempts, daemon, &problem);
                     }
                 }
             }
         }
-        match maybe {
-            true => Err(Error::Unknown { id: patch.id, attempts }),
+        match unknown {
+            true => Err(Error::OutcomeUnknown { id: patch.id, attempts }),
             false => Err(Error::Unreachable(attempts)),
         }
     }
 
-    /// A repeat was called stale. Either this patch itself made the next
-    /// number and the daemon did not know it by its id, or another one came
-    /// first: the history says which, and nothing later can change it.
-    async fn resolve(
+    /// Resolves a repeated patch that a daemon refused as stale.
+    ///
+    /// Either this patch made the next configuration number and the daemon did
+    /// not recognise its id, or another patch was taken first. The history says
+    /// which, and nothing can change that later.
+    async fn resolve_stale(
         &self,
         patch: &Patch,
         against: Number,
         current: Number,
         mut attempts: Vec<String>,
     ) -> Result<Taken, Error> {
-        let history = match self.history(against).await {
+        let history = match self.read_history(against).await {
             Ok(history) => history,
             Err(error) => {
                 attempts.push(error.to_string());
-                return Err(Error::Unknown { id: patch.id, attempts });
+                return Err(Error::OutcomeUnknown { id: patch.id, attempts });
             }
         };
         match history.patches.iter().find(|entry| entry.number == against.next()) {
             Some(entry) if entry.patch.id == patch.id => {
-                // The table holds it; whether a majority does, it can't say.
+                // The history shows that the table holds the patch, but not that a
+                // majority holds it.
                 Ok(Taken { number: entry.number, acknowledged: false })
             }
             Some(_) => Err(Error::Stale { against, current }),
-            None => Err(Error::Unknown { id: patch.id, attempts }),
+            None => Err(Error::OutcomeUnknown { id: patch.id, attempts }),
         }
     }
 
-    async fn post_once(&self, daemon: SocketAddr, body: Vec<u8>) -> Posted {
+    async fn post_patch_once(&self, daemon: SocketAddr, body: Vec<u8>) -> PostResult {
         let (status, body) =
             match self.exchange(daemon, Method::POST, admin::PATCH_PATH, body).await {
                 Ok(answer) => answer,
-                Err(Failed::NotSent(problem)) => return Posted::Not(problem),
-                Err(Failed::Lost(problem)) => return Posted::Maybe(problem),
+                Err(ExchangeError::NotSent(problem)) => return PostResult::NotTaken(problem),
+                Err(ExchangeError::AnswerLost(problem)) => return PostResult::Unknown(problem),
             };
         if status == StatusCode::OK
             && let Ok(taken) = serde_json::from_slice::<Taken>(&body)
         {
             return match taken.acknowledged {
-                true => Posted::Answer(Ok(taken)),
-                false => {
-                    Posted::Maybe(format!("made {}, not yet held by a majority", taken.number))
-                }
+                true => PostResult::Final(Ok(taken)),
+                false => PostResult::Unknown(format!(
+                    "made {}, not yet held by a majority",
+                    taken.number
+                )),
             };
         }
         if let Ok(refused) = serde_json::from_slice::<Refused>(&body) {
-            return Posted::Answer(Err(refused.error));
+            return PostResult::Final(Err(refused.error));
         }
         match serde_json::from_slice::<Undecided>(&body) {
-            Ok(Undecided { outcome: Outcome::NotTaken, message }) => Posted::Not(message),
-            Ok(Undecided { outcome: Outcome::Unknown, message }) => Posted::Maybe(message),
-            // An answer of no known shape proves nothing.
-            Err(_) => Posted::Maybe(format!("{status}: {}", String::from_utf8_lossy(&body))),
+            Ok(Undecided { outcome: Outcome::NotTaken, message }) => PostResult::NotTaken(message),
+            Ok(Undecided { outcome: Outcome::Unknown, message }) => PostResult::Unknown(message),
+            // An answer that cannot be parsed says nothing about the patch.
+            Err(_) => PostResult::Unknown(format!("{status}: {}", String::from_utf8_lossy(&body))),
         }
     }
 
@@ -209,22 +235,23 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-    ) -> Result<(StatusCode, Vec<u8>), Failed> {
+    ) -> Result<(StatusCode, Vec<u8>), ExchangeError> {
         let url = format!("http://{daemon}{path}");
         let request = self.http.request(method, url).content_type("application/json");
-        // A kept connection may be dead at the other end, which would make an
-        // answer look lost that was never asked for.
-        let mut response = request.force_close().send_body(body).await.map_err(Failed::from)?;
-        match response.body().limit(ANSWER_MAX).await {
+        // The daemon may have closed a connection that is kept alive. A request
+        // on it would fail as if its answer were lost, though it was not received.
+        let mut response =
+            request.force_close().send_body(body).await.map_err(ExchangeError::from)?;
+        match response.body().limit(ANSWER_BYTES_MAX).await {
             Ok(body) => Ok((response.status(), body.to_vec())),
-            Err(error) => Err(Failed::Lost(error.to_string())),
+            Err(error) => Err(ExchangeError::AnswerLost(error.to_string())),
         }
     }
 }
 
-/// What a daemon says in an answer that is no success: the message of a
-/// failure, else its whole text.
-fn message(body: &[u8]) -> String {
+/// Returns the error message of a failed answer, or its whole text if it has no
+/// such message.
+fn error_message(body: &[u8]) -> String {
     let failure = serde_json::from_slice::<Value>(body).unwrap_or_default();
     match failure["error"]["message"].as_str() {
         Some(message) => message.to_owned(),
@@ -232,24 +259,24 @@
     }
 }
 
-/// Adds a line unless an earlier round said the same.
-fn note(attempts: &mut Vec<String>, daemon: SocketAddr, problem: &str) {
+/// Adds a line about an attempt unless an earlier round added the same one.
+fn add_attempt(attempts: &mut Vec<String>, daemon: SocketAddr, problem: &str) {
     let line = format!("{daemon}: {problem}");
     if !attempts.contains(&line) {
         attempts.push(line);
     }
 }
 
-impl From<SendRequestError> for Failed {
-    fn from(error: SendRequestError) -> Failed {
+impl From<SendRequestError> for ExchangeError {
+    fn from(error: SendRequestError) -> ExchangeError {
         match error {
-            // The client says so too when the connection closed before an
-            // answer, long after the request left.
+            // The HTTP client also returns this error when the connection closes
+            // before an answer, long after the request was sent.
             SendRequestError::Connect(ConnectError::Disconnected) => {
-                Failed::Lost("closed without an answer".to_owned())
+                ExchangeError::AnswerLost("closed without an answer".to_owned())
             }
-            SendRequestError::Connect(error) => Failed::NotSent(error.to_string()),
-            error => Failed::Lost(error.to_string()),
+            SendRequestError::Connect(error) => ExchangeError::NotSent(error.to_string()),
+            error => ExchangeError::AnswerLost(error.to_string()),
         }
     }
 }
--- a/kingcupbay/src/error.rs
+++ b/kingcupbay/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command did not succeed, and its exit code.
+//! Errors of commands and their exit codes.
 
 use std::path::PathBuf;
 
@@ -10,55 +10,58 @@
 };
 use thiserror::Error;
 
-/// Why a command did not succeed.
+/// Error of a command.
 #[derive(Debug)]
 #[derive(Error)]
 pub(crate) enum Error {
-    /// Declarations that do not check.
-    #[error("{}", lines(.0))]
+    /// The declaration has mistakes.
+    #[error("{}", join_lines(.0))]
     Mistakes(Vec<Mistake>),
-    /// A change that does not check.
-    #[error("refused: {}{refusal}", prefix(place))]
+    /// A change is not valid.
+    #[error("refused: {}{refusal}", format_place(place))]
     Refused {
-        /// Where it is declared, if it is.
+        /// Place of its declaration, if it comes from a file.
         place: Option<Place>,
-        /// Why.
+        /// Reason for the refusal.
         refusal: Refusal,
     },
-    /// A patch that may not be made like this.
+    /// A patch is refused as a whole.
     #[error("refused: {0}")]
     Patch(PatchError),
-    /// A file that cannot be read.
+    /// A file cannot be read.
     #[error("{}: {error}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Error of the read.
         error: std::io::Error,
     },
-    /// A command line that is not complete.
+    /// The command line or the environment is incomplete or invalid.
     #[error("{0}")]
     Usage(&'static str),
-    /// Made against another number than the one in force.
+    /// The change was made against another configuration number than the one in
+    /// force.
     #[error("stale: made against {against}, but {current} is in force")]
     Stale {
-        /// The number it was made against.
+        /// Configuration number that the change was made against.
         against: Number,
-        /// The number in force.
+        /// Configuration number in force.
         current: Number,
     },
-    /// The daemons that were asked do not know it.
+    /// A daemon answered that the requested item does not exist, and no other one
+    /// returned it.
     #[error("refused: {0}")]
-    Absent(String),
-    /// No daemon answered as it should; nothing changed.
-    #[error("no daemon could do it; nothing changed\n{}", lines(.0))]
+    NotFound(String),
+    /// No daemon carried out the command; nothing changed. One line for each
+    /// failed attempt.
+    #[error("no daemon could do it; nothing changed\n{}", join_lines(.0))]
     Unreachable(Vec<String>),
-    /// A patch may or may not be in force.
-    #[error("outcome of patch {id} unknown; look for it in the history\n{}", lines(.attempts))]
-    Unknown {
-        /// The patch's id.
+    /// It is unknown whether a patch is in force.
+    #[error("outcome of patch {id} unknown; look for it in the history\n{}", join_lines(.attempts))]
+    OutcomeUnknown {
+        /// Id of the patch.
         id: kingcupbay_core::id::RequestId,
-        /// What each attempt met.
+        /// One line for each failed attempt.
         attempts: Vec<String>,
     },
     /// The output could not be written.
@@ -67,20 +70,20 @@
 }
 
 impl Error {
-    /// The exit code, as `--help` lists them.
-    pub(crate) fn code(&self) -> u8 {
+    /// Returns the exit code, as listed by `--help`.
+    pub(crate) fn exit_code(&self) -> u8 {
         match self {
-            Error::Mistakes(_) | Error::Refused { .. } | Error::Patch(_) | Error::Absent(_) => 1,
+            Error::Mistakes(_) | Error::Refused { .. } | Error::Patch(_) | Error::NotFound(_) => 1,
             Error::File { .. } | Error::Usage(_) | Error::Print(_) => 2,
             Error::Stale { .. } => 3,
             Error::Unreachable(_) => 4,
-            Error::Unknown { .. } => 5,
+            Error::OutcomeUnknown { .. } => 5,
         }
     }
 
-    /// The error as one JSON object.
-    pub(crate) fn json(&self) -> String {
-        let mut object = serde_json::json!({ "code": self.code(), "error": self.to_string() });
+    /// Formats the error as one JSON object.
+    pub(crate) fn to_json(&self) -> String {
+        let mut object = serde_json::json!({ "code": self.exit_code(), "error": self.to_string() });
         if let Error::Stale { current, .. } = self {
             object["current"] = current.0.into();
         }
@@ -98,10 +101,10 @@
     }
 }
 
-fn lines<T: ToString>(items: &[T]) -> String {
+fn join_lines<T: ToString>(items: &[T]) -> String {
     items.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
-fn prefix(place: &Option<Place>) -> String {
+fn format_place(place: &Option<Place>) -> String {
     place.as_ref().map(|place| format!("{place}: ")).unwrap_or_default()
 }
--- a/kingcupbay/src/key.rs
+++ b/kingcupbay/src/key.rs
@@ -14,19 +14,19 @@
     session::Session,
 };
 
-/// Marks a key as one of this system, for people and for secret scanners.
-const PREFIX: &str = "kcb_";
+/// Prefix of every key, by which people and secret scanners recognise it.
+const KEY_PREFIX: &str = "kcb_";
 
 /// Commands on access keys.
 #[derive(Debug)]
 #[derive(Subcommand)]
 pub(crate) enum KeyCommand {
-    /// Draw a key and show it, this once only
+    /// Generate a key and show it, this once only
     Issue {
         /// Its label
         label: Name,
 
-        /// Whose key
+        /// Organisation that owns it
         #[arg(long)]
         organisation: Name,
 
@@ -43,11 +43,11 @@
         against: Against,
     },
 
-    /// List keys; the secrets are nowhere
+    /// List keys; their secrets are not stored
     List,
 }
 
-/// A key as listed.
+/// Row of the list of keys.
 #[derive(Serialize)]
 struct Row {
     label: Name,
@@ -55,7 +55,7 @@
     hash: KeyHash,
 }
 
-/// A key just issued.
+/// JSON output for an issued key.
 #[derive(Serialize)]
 struct Issued {
     label: Name,
@@ -64,22 +64,26 @@
     number: u64,
 }
 
+/// Runs a command on access keys and returns the text to print.
 pub(crate) async fn run(session: &Session, command: KeyCommand) -> Result<String, Error> {
     match command {
         KeyCommand::Issue { label, organisation, against } => {
-            issue(session, label, organisation, against).await
+            issue_key(session, label, organisation, against).await
         }
         KeyCommand::Withdraw { label, against } => {
             let change = Change::WithdrawKey { label };
-            Ok(session.taken(session.change(against, change).await?))
+            Ok(session.format_taken(session.post_change(against, change).await?))
         }
-        KeyCommand::List => list(session).await,
+        KeyCommand::List => list_keys(session).await,
     }
 }
 
-/// The secret is shown only once the key is in force: whoever gets exit code
-/// 5 finds the label in the list, withdraws it and issues another.
-async fn issue(
+/// Issues a key and returns its secret.
+///
+/// The secret is shown only if the key is in force. After exit code 5, the
+/// operator looks for the label in the list of keys, withdraws that key and
+/// issues another one.
+async fn issue_key(
     session: &Session,
     label: Name,
     organisation: Name,
@@ -87,22 +91,22 @@
 ) -> Result<String, Error> {
     let mut bytes = [0; 32];
     getrandom::fill(&mut bytes).expect("the system has random bytes");
-    let secret = format!("{PREFIX}{}", hex::encode(bytes));
+    let secret = format!("{KEY_PREFIX}{}", hex::encode(bytes));
     let change = Change::IssueKey {
         label: label.clone(),
         organisation: organisation.clone(),
         hash: KeyHash::of(&secret),
     };
-    let taken = session.change(against, change).await?;
+    let taken = session.post_change(against, change).await?;
     let issued = Issued { label, organisation, secret, number: taken.number.0 };
     Ok(match session.json {
-        true => output::json(&issued),
+        true => output::to_json(&issued),
         false => issued.secret,
     })
 }
 
-async fn list(session: &Session) -> Result<String, Error> {
-    let config = session.client.config().await?;
+async fn list_keys(session: &Session) -> Result<String, Error> {
+    let config = session.client.read_config().await?;
     let rows = config.keys.iter().map(|(_, row)| {
         let owner = config.organisations.get(row.organisation).expect("a key has an owner");
         Row { label: row.label.clone(), organisation: owner.name.clone(), hash: row.hash }
@@ -112,5 +116,5 @@
         Column("organisation", |row| row.organisation.to_string()),
         Column("hash", |row| hex::encode(row.hash.0)),
     ];
-    Ok(session.list(&rows.collect::<Vec<_>>(), &columns))
+    Ok(session.format_list(&rows.collect::<Vec<_>>(), &columns))
 }
--- a/kingcupbay/src/main.rs
+++ b/kingcupbay/src/main.rs
@@ -1,8 +1,9 @@
-//! Operators' command-line tool of kingcupbay.
+//! Command-line tool for the operators of kingcupbay.
 //!
-//! [`args`] is the command line, one module stands for each group of commands,
-//! [`client`] speaks to a daemon's operators' port, [`error`] decides the exit
-//! code. A command returns the text to print; nothing else prints.
+//! [`args`] defines the command line, each group of commands has its own module,
+//! [`client`] sends requests to the operators' ports of daemons, and [`error`]
+//! maps errors to exit codes. A command returns the text to print; only this
+//! module prints.
 
 mod adapter;
 mod against;
@@ -30,29 +31,31 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     let json = args.json;
-    let result = actix_rt::System::new().block_on(run(args)).and_then(print);
+    let result = actix_rt::System::new().block_on(run_command(args)).and_then(print_text);
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("{}", if json { error.json() } else { format!("kingcupbay: {error}") });
-            ExitCode::from(error.code())
+            eprintln!("{}", if json { error.to_json() } else { format!("kingcupbay: {error}") });
+            ExitCode::from(error.exit_code())
         }
     }
 }
 
-fn print(mut text: String) -> Result<(), Error> {
+/// Prints `text`, with a newline at its end unless it is empty.
+fn print_text(mut text: String) -> Result<(), Error> {
     if !text.is_empty() && !text.ends_with('\n') {
         text.push('\n');
     }
-    // A reader such as `head` may have gone; that is no panic.
+    // Not `print!`, which panics when a reader such as `head` has closed the pipe.
     std::io::stdout().write_all(text.as_bytes()).map_err(Error::Print)
 }
 
-async fn run(args: Args) -> Result<String, Error> {
+/// Runs a command and returns the text to print.
+async fn run_command(args: Args) -> Result<String, Error> {
     use args::Command;
     let command = match args.command {
-        Command::Completions { shell } => return Ok(generate::completions(shell)),
-        Command::Man => return generate::man(),
+        Command::Completions { shell } => return Ok(generate::render_completions(shell)),
+        Command::Man => return generate::render_man_page(),
         command => command,
     };
     let session = Session::new(args.daemon, args.json, args.author)?;
@@ -68,9 +71,9 @@
         Command::Apply { against, files } => declaration::apply(&session, against, &files).await,
         Command::Export => declaration::export(&session).await,
         Command::Diff { files } => declaration::diff(&session, &files).await,
-        Command::History { after } => inspect::history(&session, after).await,
-        Command::Status => inspect::status(&session).await,
-        Command::Dump { host } => inspect::dump(&session, host.as_ref()).await,
-        Command::Completions { .. } | Command::Man => unreachable!("answered above"),
+        Command::History { after } => inspect::show_history(&session, after).await,
+        Command::Status => inspect::show_status(&session).await,
+        Command::Dump { host } => inspect::show_dump(&session, host.as_ref()).await,
+        Command::Completions { .. } | Command::Man => unreachable!("handled above"),
     }
 }
--- a/kingcupbay/src/organisation.rs
+++ b/kingcupbay/src/organisation.rs
@@ -21,7 +21,7 @@
         #[arg(long, value_name = "TOKENS")]
         rate: u64,
 
-        /// Tokens at once
+        /// Tokens that may be used at once
         #[arg(long, value_name = "TOKENS")]
         burst: u64,
 
@@ -42,6 +42,7 @@
     List,
 }
 
+/// Runs a command on organisations and returns the text to print.
 pub(crate) async fn run(session: &Session, command: OrganisationCommand) -> Result<String, Error> {
     let (change, against) = match command {
         OrganisationCommand::Set { name, rate, burst, against } => {
@@ -50,18 +51,18 @@
         OrganisationCommand::Remove { name, against } => {
             (Change::RemoveOrganisation { name }, against)
         }
-        OrganisationCommand::List => return list(session).await,
+        OrganisationCommand::List => return list_organisations(session).await,
     };
-    Ok(session.taken(session.change(against, change).await?))
+    Ok(session.format_taken(session.post_change(against, change).await?))
 }
 
-async fn list(session: &Session) -> Result<String, Error> {
-    let config = session.client.config().await?;
+async fn list_organisations(session: &Session) -> Result<String, Error> {
+    let config = session.client.read_config().await?;
     let rows: Vec<_> = config.organisations.iter().map(|(_, row)| row.clone()).collect();
     let columns: [Column<Organisation>; 3] = [
         Column("name", |row| row.name.to_string()),
         Column("rate", |row| row.rate.to_string()),
         Column("burst", |row| row.burst.to_string()),
     ];
-    Ok(session.list(&rows, &columns))
+    Ok(session.format_list(&rows, &columns))
 }
--- a/kingcupbay/src/output.rs
+++ b/kingcupbay/src/output.rs
@@ -1,24 +1,26 @@
-//! Text for people and for programs.
+//! Formats of the output: tables for people and JSON for programs.
 
 use kingcupbay_core::config::change::Change;
 use serde::Serialize;
 
-/// A column of a table: its heading and what stands in it for a row.
+/// A column of a table: its heading and the function that formats its cell of a
+/// row.
 pub(crate) struct Column<T>(pub(crate) &'static str, pub(crate) fn(&T) -> String);
 
-/// `value` as indented JSON.
-pub(crate) fn json<T: Serialize + ?Sized>(value: &T) -> String {
+/// Formats `value` as indented JSON.
+pub(crate) fn to_json<T: Serialize + ?Sized>(value: &T) -> String {
     serde_json::to_string_pretty(value).expect("rows are JSON")
 }
 
-/// `rows` in aligned columns under their headings.
-pub(crate) fn table<T>(rows: &[T], columns: &[Column<T>]) -> String {
+/// Formats `rows` in aligned columns under upper-case headings.
+pub(crate) fn format_table<T>(rows: &[T], columns: &[Column<T>]) -> String {
     let mut lines = vec![columns.iter().map(|column| column.0.to_uppercase()).collect()];
     lines.extend(rows.iter().map(|row| columns.iter().map(|column| (column.1)(row)).collect()));
-    align(&lines)
+    align_columns(&lines)
 }
 
-fn align(lines: &[Vec<String>]) -> String {
+/// Joins cells into lines, with all columns padded to their widest cell.
+fn align_columns(lines: &[Vec<String>]) -> String {
     let columns = lines.first().map_or(0, Vec::len);
     let width = |column: usize| lines.iter().map(|line| line[column].chars().count()).max();
     let widths: Vec<_> = (0..columns).map(|column| width(column).unwrap_or(0)).collect();
@@ -31,13 +33,13 @@
     text
 }
 
-/// Text of a value that may be missing.
+/// Formats a value, or `-` if there is none.
 pub(crate) fn or_dash<T: ToString>(value: Option<&T>) -> String {
     value.map_or_else(|| "-".to_owned(), ToString::to_string)
 }
 
-/// One line that says what a change does.
-pub(crate) fn describe(change: &Change) -> String {
+/// Describes a change in one line.
+pub(crate) fn describe_change(change: &Change) -> String {
     match change {
         Change::SetOrganisation { name, rate, burst } => {
             format!("set organisation {name} rate={rate} burst={burst}")
--- a/kingcupbay/src/route.rs
+++ b/kingcupbay/src/route.rs
@@ -15,7 +15,7 @@
         /// Its name, the first segment of the path
         name: Name,
 
-        /// Who may use it
+        /// Organisation that may use it
         #[arg(long)]
         organisation: Name,
 
@@ -44,7 +44,7 @@
     List,
 }
 
-/// A route as listed.
+/// Row of the list of routes.
 #[derive(Serialize)]
 struct Row {
     name: Name,
@@ -53,19 +53,20 @@
     once: bool,
 }
 
+/// Runs a command on routes and returns the text to print.
 pub(crate) async fn run(session: &Session, command: RouteCommand) -> Result<String, Error> {
     let (change, against) = match command {
         RouteCommand::Set { name, organisation, service, once, against } => {
             (Change::SetRoute { name, organisation, service, once }, against)
         }
         RouteCommand::Remove { name, against } => (Change::RemoveRoute { name }, against),
-        RouteCommand::List => return list(session).await,
+        RouteCommand::List => return list_routes(session).await,
     };
-    Ok(session.taken(session.change(against, change).await?))
+    Ok(session.format_taken(session.post_change(against, change).await?))
 }
 
-async fn list(session: &Session) -> Result<String, Error> {
-    let config = Declaration::of(&session.client.config().await?);
+async fn list_routes(session: &Session) -> Result<String, Error> {
+    let config = Declaration::of(&session.client.read_config().await?);
     let rows = config.routes.into_iter().map(|(name, row)| Row {
         name,
         organisation: row.organisation,
@@ -78,5 +79,5 @@
         Column("service", |row| row.service.to_string()),
         Column("once", |row| row.once.to_string()),
     ];
-    Ok(session.list(&rows.collect::<Vec<_>>(), &columns))
+    Ok(session.format_list(&rows.collect::<Vec<_>>(), &columns))
 }
--- a/kingcupbay/src/session.rs
+++ b/kingcupbay/src/session.rs
@@ -1,4 +1,4 @@
-//! What every command needs: daemons to ask, and how to answer.
+//! State shared by the commands: the client, the output format and the author.
 
 use std::net::SocketAddr;
 
@@ -16,10 +16,11 @@
     output::{self, Column},
 };
 
-/// Daemons that are asked when the command line names none.
-const DAEMON_VARIABLE: &str = "KINGCUPBAY_DAEMON";
+/// Environment variable that lists the daemons to ask when the command line names
+/// none.
+const DAEMON_ENV: &str = "KINGCUPBAY_DAEMON";
 
-/// What every command needs.
+/// State that every command needs.
 pub(crate) struct Session {
     pub(crate) client: Client,
     pub(crate) json: bool,
@@ -27,14 +28,19 @@
 }
 
 impl Session {
-    /// Fails when neither the command line nor the environment names a daemon.
+    /// Creates a session from the global options and the environment.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Usage`] if neither the command line nor the environment names a
+    /// daemon, or the environment's list is malformed.
     pub(crate) fn new(
         mut daemons: Vec<SocketAddr>,
         json: bool,
         author: Option<String>,
     ) -> Result<Session, Error> {
         if daemons.is_empty() {
-            let listed = std::env::var(DAEMON_VARIABLE).unwrap_or_default();
+            let listed = std::env::var(DAEMON_ENV).unwrap_or_default();
             let words = listed.split([',', ' ']).filter(|word| !word.is_empty());
             let parsed: Result<_, _> = words.map(str::parse).collect();
             daemons = parsed.map_err(|_| Error::Usage("KINGCUPBAY_DAEMON is not IP:PORT,…"))?;
@@ -47,36 +53,41 @@
         Ok(Session { client: Client::new(daemons), json, author })
     }
 
-    /// A patch by this operator.
-    pub(crate) fn patch(&self, against: Number, changes: Vec<Change>) -> Patch {
+    /// Creates a patch by this author with a random id.
+    pub(crate) fn new_patch(&self, against: Number, changes: Vec<Change>) -> Patch {
         let mut id = [0; 16];
         getrandom::fill(&mut id).expect("the system has random bytes");
         Patch { id: RequestId(id), against, author: self.author.clone(), changes }
     }
 
-    /// Has one change taken, against the number given or the one in force.
-    pub(crate) async fn change(&self, against: Against, change: Change) -> Result<Taken, Error> {
+    /// Posts one change against the given configuration number, by default the one
+    /// in force.
+    pub(crate) async fn post_change(
+        &self,
+        against: Against,
+        change: Change,
+    ) -> Result<Taken, Error> {
         let number = match against.against {
             Some(number) => Number(number),
-            None => self.client.config().await?.number,
+            None => self.client.read_config().await?.number,
         };
-        self.client.post(&self.patch(number, vec![change])).await
+        self.client.post_patch(&self.new_patch(number, vec![change])).await
     }
 
-    /// The text that tells of a patch that was taken.
-    pub(crate) fn taken(&self, taken: Taken) -> String {
+    /// Formats the result of a patch that was taken.
+    pub(crate) fn format_taken(&self, taken: Taken) -> String {
         match self.json {
-            true => output::json(&taken),
+            true => output::to_json(&taken),
             false if taken.acknowledged => format!("number {} is in force", taken.number),
             false => format!("number {} was taken", taken.number),
         }
     }
 
-    /// A list of rows.
-    pub(crate) fn list<T: Serialize>(&self, rows: &[T], columns: &[Column<T>]) -> String {
+    /// Formats a list as JSON or as a table.
+    pub(crate) fn format_list<T: Serialize>(&self, rows: &[T], columns: &[Column<T>]) -> String {
         match self.json {
-            true => output::json(rows),
-            false => output::table(rows, columns),
+            true => output::to_json(rows),
+            false => output::format_table(rows, columns),
         }
     }
 }
--- a/kingcupbay/src/upstream.rs
+++ b/kingcupbay/src/upstream.rs
@@ -42,7 +42,7 @@
     List,
 }
 
-/// The whole row of an upstream.
+/// Options of `upstream set`, which replaces the whole row of an upstream.
 #[derive(Debug)]
 #[derive(clap::Args)]
 #[command(group = ArgGroup::new("serves").required(true))]
@@ -86,25 +86,28 @@
     against: Against,
 }
 
+/// Runs a command on upstreams and returns the text to print.
 pub(crate) async fn run(session: &Session, command: UpstreamCommand) -> Result<String, Error> {
     let (change, against) = match command {
-        UpstreamCommand::Set(set) => set_row(session, set).await?,
-        UpstreamCommand::Leave { name, against } => leave(session, &name, against).await?,
+        UpstreamCommand::Set(set) => set_upstream(session, set).await?,
+        UpstreamCommand::Leave { name, against } => leave_upstream(session, &name, against).await?,
         UpstreamCommand::Remove { name, against } => (Change::RemoveUpstream { name }, against),
-        UpstreamCommand::List => return list(session).await,
+        UpstreamCommand::List => return list_upstreams(session).await,
     };
-    Ok(session.taken(session.change(against, change).await?))
+    Ok(session.format_taken(session.post_change(against, change).await?))
 }
 
-async fn set_row(session: &Session, set: Set) -> Result<(Change, Against), Error> {
+/// Creates the change that sets an upstream. If `--leaving` is not given, its value
+/// in force is kept.
+async fn set_upstream(session: &Session, set: Set) -> Result<(Change, Against), Error> {
     let mut against = set.against;
     let leaving = match set.leaving {
         Some(leaving) => leaving,
         None => {
-            // What is kept holds for the number it was read at.
-            let config = session.client.config().await?;
+            // The kept value is valid only for the number at which it was read.
+            let config = session.client.read_config().await?;
             against.against.get_or_insert(config.number.0);
-            row(&config, &set.name).is_some_and(|row| row.leaving)
+            find_upstream(&config, &set.name).is_some_and(|row| row.leaving)
         }
     };
     let serves = match (set.service, set.base, set.slots, set.fenced) {
@@ -123,14 +126,15 @@
     Ok((Change::SetUpstream { upstream }, against))
 }
 
-async fn leave(
+/// Creates the change that marks an upstream as leaving.
+async fn leave_upstream(
     session: &Session,
     name: &Name,
     mut against: Against,
 ) -> Result<(Change, Against), Error> {
-    let config = session.client.config().await?;
+    let config = session.client.read_config().await?;
     against.against.get_or_insert(config.number.0);
-    let Some(mut upstream) = row(&config, name).cloned() else {
+    let Some(mut upstream) = find_upstream(&config, name).cloned() else {
         let refusal = Refusal::Missing { kind: "upstream".into(), name: name.to_string() };
         return Err(Error::Refused { place: None, refusal });
     };
@@ -138,12 +142,12 @@
     Ok((Change::SetUpstream { upstream }, against))
 }
 
-fn row<'a>(config: &'a Config, name: &Name) -> Option<&'a Upstream> {
+fn find_upstream<'a>(config: &'a Config, name: &Name) -> Option<&'a Upstream> {
     config.upstreams.get(*config.upstream_names.get(name)?)
 }
 
-async fn list(session: &Session) -> Result<String, Error> {
-    let config = session.client.config().await?;
+async fn list_upstreams(session: &Session) -> Result<String, Error> {
+    let config = session.client.read_config().await?;
     let rows: Vec<_> = config.upstreams.iter().map(|(_, row)| row.clone()).collect();
     let columns: [Column<Upstream>; 6] = [
         Column("name", |row| row.name.to_string()),
@@ -158,5 +162,5 @@
         }),
         Column("leaving", |row| row.leaving.to_string()),
     ];
-    Ok(session.list(&rows, &columns))
+    Ok(session.format_list(&rows, &columns))
 }
--- a/kingcupbay/src/version.rs
+++ b/kingcupbay/src/version.rs
@@ -45,7 +45,7 @@
     },
 }
 
-/// A version as listed.
+/// Row of the list of versions.
 #[derive(Serialize)]
 struct Row {
     adapter: Name,
@@ -53,6 +53,7 @@
     source: String,
 }
 
+/// Runs a command on versions and returns the text to print.
 pub(crate) async fn run(session: &Session, command: VersionCommand) -> Result<String, Error> {
     let (change, against) = match command {
         VersionCommand::Add { version: VersionName { adapter, label }, source, against } => {
@@ -61,13 +62,13 @@
         VersionCommand::Remove { version: VersionName { adapter, label }, against } => {
             (Change::RemoveVersion { adapter, label }, against)
         }
-        VersionCommand::List { adapter } => return list(session, adapter.as_ref()).await,
+        VersionCommand::List { adapter } => return list_versions(session, adapter.as_ref()).await,
     };
-    Ok(session.taken(session.change(against, change).await?))
+    Ok(session.format_taken(session.post_change(against, change).await?))
 }
 
-async fn list(session: &Session, adapter: Option<&Name>) -> Result<String, Error> {
-    let config = Declaration::of(&session.client.config().await?);
+async fn list_versions(session: &Session, adapter: Option<&Name>) -> Result<String, Error> {
+    let config = Declaration::of(&session.client.read_config().await?);
     let wanted = |name: &VersionName| adapter.is_none_or(|adapter| *adapter == name.adapter);
     let rows = config.versions.iter().filter(|(name, _)| wanted(name)).map(|(name, source)| Row {
         adapter: name.adapter.clone(),
@@ -79,5 +80,5 @@
         Column("label", |row| row.label.to_string()),
         Column("source", |row| row.source.clone()),
     ];
-    Ok(session.list(&rows.collect::<Vec<_>>(), &columns))
+    Ok(session.format_list(&rows.collect::<Vec<_>>(), &columns))
 }
