--- a/kingcupbay/tests/admin/mod.rs
+++ b/kingcupbay/tests/admin/mod.rs
@@ -1,5 +1,5 @@
-//! A daemon's operators' port, small: it keeps a configuration, forgets no
-//! patch id, and goes wrong only as told.
+//! Fake operators' port of a daemon. It holds a configuration, recognises the ids
+//! of taken patches and injects the faults that a test lists.
 
 use std::{
     collections::VecDeque,
@@ -19,49 +19,54 @@
 };
 use serde::Serialize;
 
-/// What goes wrong with one posted patch.
+/// Fault injected into the handling of one posted patch.
 #[derive(Clone, Copy)]
 pub(crate) enum Fault {
-    /// Taken, but the connection closes before the answer.
+    /// The patch is taken, but the connection closes before the answer.
     LostAnswer,
-    /// Taken and lost, and a repeat is not known by its id.
+    /// Like `LostAnswer`, and the id of a repeated patch is not recognised.
     LostAndForgotten,
-    /// The connection closes and nothing was taken.
+    /// The connection closes and the patch is not taken.
     LostRequest,
-    /// Refused as stale, since another patch came first.
+    /// Another patch is taken first and the connection closes, so that a repeat is
+    /// stale.
     Overtaken,
-    /// The table could not be reached.
+    /// The daemon answers that the patch was not taken, since the table could not
+    /// be reached.
     NotTaken,
-    /// The table did not answer.
+    /// The daemon answers that the outcome is unknown, since the table did not
+    /// answer.
     Unknown,
-    /// Taken, but no majority holds it yet.
+    /// The patch is taken, but no majority holds it yet.
     Unacknowledged,
 }
 
-/// State that the test looks at afterwards.
+/// State of the port, for the test to check.
 #[derive(Default)]
 pub(crate) struct State {
     pub(crate) config: Config,
     pub(crate) history: Vec<Numbered>,
     pub(crate) faults: VecDeque<Fault>,
     pub(crate) posted: Vec<Patch>,
+    /// Whether the ids of taken patches are no longer recognised.
     forgotten: bool,
 }
 
-/// The running port.
+/// Handle of a running port.
 #[derive(Clone)]
-pub(crate) struct Admin {
+pub(crate) struct AdminServer {
     pub(crate) address: SocketAddr,
     pub(crate) state: Arc<Mutex<State>>,
 }
 
-impl Admin {
-    /// Serves until the test's process ends.
-    pub(crate) fn start(faults: &[Fault]) -> Admin {
+impl AdminServer {
+    /// Starts a port, which serves until the test process ends. Each of `faults`
+    /// applies to one posted patch, in order.
+    pub(crate) fn start(faults: &[Fault]) -> AdminServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let state = State { faults: faults.iter().copied().collect(), ..State::default() };
-        let admin = Admin { address, state: Arc::new(Mutex::new(state)) };
+        let admin = AdminServer { address, state: Arc::new(Mutex::new(state)) };
         let state = admin.state.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
@@ -76,15 +81,15 @@
         run(&[self.address], args)
     }
 
-    /// Runs the tool and takes its output, which must be a success.
-    pub(crate) fn done(&self, args: &[&str]) -> String {
+    /// Runs the tool, asserts that it succeeds and returns its output.
+    pub(crate) fn run_ok(&self, args: &[&str]) -> String {
         let output = self.run(args);
-        assert_eq!(code(&output), 0, "{args:?}: {}", errors(&output));
+        assert_eq!(exit_code(&output), 0, "{args:?}: {}", stderr_text(&output));
         String::from_utf8(output.stdout).unwrap()
     }
 }
 
-/// Runs the tool with these daemons.
+/// Runs the tool with `daemons` on its command line.
 pub(crate) fn run(daemons: &[SocketAddr], args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_kingcupbay"));
     command.env_remove("KINGCUPBAY_DAEMON").env("USER", "ops").args(args);
@@ -94,18 +99,21 @@
     command.output().unwrap()
 }
 
-pub(crate) fn code(output: &Output) -> i32 {
+/// Returns the exit code.
+pub(crate) fn exit_code(output: &Output) -> i32 {
     output.status.code().unwrap()
 }
 
-pub(crate) fn errors(output: &Output) -> String {
+/// Returns the text printed to stderr.
+pub(crate) fn stderr_text(output: &Output) -> String {
     String::from_utf8(output.stderr.clone()).unwrap()
 }
 
+/// Reads one request and answers it, or closes the connection without an answer.
 fn serve(stream: TcpStream, state: &mut State) {
     let mut reader = BufReader::new(&stream);
-    let mut first = String::new();
-    if reader.read_line(&mut first).unwrap_or(0) == 0 {
+    let mut request_line = String::new();
+    if reader.read_line(&mut request_line).unwrap_or(0) == 0 {
         return;
     }
     let mut length = 0;
@@ -121,76 +129,80 @@
     }
     let mut body = vec![0; length];
     reader.read_exact(&mut body).unwrap();
-    let words: Vec<_> = first.split_whitespace().collect();
+    let words: Vec<_> = request_line.split_whitespace().collect();
     if let Some((status, body)) = answer(state, words[0], words[1], &body) {
         let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n", body.len());
         (&stream).write_all(&[head.as_bytes(), &body].concat()).unwrap();
     }
 }
 
+/// Returns the status and body of an answer, or `None` for no answer.
 fn answer(state: &mut State, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
     match (method, path) {
-        ("GET", "/admin/config") => Some((200, json(&state.config))),
+        ("GET", "/admin/config") => Some((200, to_json(&state.config))),
         ("GET", "/admin/status") => Some((200, br#"{"standing":true,"number":3}"#.to_vec())),
         ("GET", "/admin/dump?host=h1") => Some((200, b"host h1\n".to_vec())),
         ("GET", "/admin/dump?host=h9") => {
             Some((404, br#"{"error":{"message":"no such member"}}"#.to_vec()))
         }
-        ("POST", "/admin/patch") => post(state, serde_json::from_slice(body).unwrap()),
+        ("POST", "/admin/patch") => post_patch(state, serde_json::from_slice(body).unwrap()),
         _ => {
             let after: u64 = path.strip_prefix("/admin/history?after=")?.parse().unwrap();
             let newer = state.history.iter().filter(|entry| entry.number.0 > after);
-            Some((200, json(&History { patches: newer.cloned().collect() })))
+            Some((200, to_json(&History { patches: newer.cloned().collect() })))
         }
     }
 }
 
-fn post(state: &mut State, patch: Patch) -> Option<(u16, Vec<u8>)> {
+/// Handles a posted patch with the next fault, if any.
+fn post_patch(state: &mut State, patch: Patch) -> Option<(u16, Vec<u8>)> {
     state.posted.push(patch.clone());
     match state.faults.pop_front() {
-        None => Some(take(state, patch, true)),
-        Some(Fault::Unacknowledged) => Some(take(state, patch, false)),
+        None => Some(take_patch(state, patch, true)),
+        Some(Fault::Unacknowledged) => Some(take_patch(state, patch, false)),
         Some(Fault::LostRequest) => None,
         Some(Fault::LostAnswer) => {
-            take(state, patch, true);
+            take_patch(state, patch, true);
             None
         }
         Some(Fault::LostAndForgotten) => {
-            take(state, patch, true);
+            take_patch(state, patch, true);
             state.forgotten = true;
             None
         }
         Some(Fault::Overtaken) => {
             let other = Patch { id: "00".repeat(16).parse().unwrap(), ..patch.clone() };
-            take(state, Patch { changes: vec![], ..other }, true);
+            take_patch(state, Patch { changes: vec![], ..other }, true);
             None
         }
-        Some(Fault::NotTaken) => Some(undecided(Outcome::NotTaken)),
-        Some(Fault::Unknown) => Some(undecided(Outcome::Unknown)),
+        Some(Fault::NotTaken) => Some(answer_undecided(Outcome::NotTaken)),
+        Some(Fault::Unknown) => Some(answer_undecided(Outcome::Unknown)),
     }
 }
 
-fn undecided(outcome: Outcome) -> (u16, Vec<u8>) {
-    (503, json(&Undecided { outcome, message: "the table is down".into() }))
+/// Answers that the patch was not taken or that its outcome is unknown.
+fn answer_undecided(outcome: Outcome) -> (u16, Vec<u8>) {
+    (503, to_json(&Undecided { outcome, message: "the table is down".into() }))
 }
 
-fn take(state: &mut State, patch: Patch, acknowledged: bool) -> (u16, Vec<u8>) {
+/// Takes a patch unless its id is recognised, and answers with its result.
+fn take_patch(state: &mut State, patch: Patch, acknowledged: bool) -> (u16, Vec<u8>) {
     let known = state.history.iter().find(|entry| entry.patch.id == patch.id);
     if let Some(known) = known.filter(|_| !state.forgotten) {
-        return (200, json(&Taken { number: known.number, acknowledged }));
+        return (200, to_json(&Taken { number: known.number, acknowledged }));
     }
     match state.config.patched(&patch) {
         Ok(config) => {
             let number: Number = config.number;
             state.config = config;
             state.history.push(Numbered { number, patch });
-            (200, json(&Taken { number, acknowledged }))
+            (200, to_json(&Taken { number, acknowledged }))
         }
-        Err(error @ PatchError::Stale { .. }) => (409, json(&Refused { error })),
-        Err(error) => (422, json(&Refused { error })),
+        Err(error @ PatchError::Stale { .. }) => (409, to_json(&Refused { error })),
+        Err(error) => (422, to_json(&Refused { error })),
     }
 }
 
-fn json<T: Serialize>(value: &T) -> Vec<u8> {
+fn to_json<T: Serialize>(value: &T) -> Vec<u8> {
     serde_json::to_vec(value).unwrap()
 }
--- a/kingcupbay/tests/commands.rs
+++ b/kingcupbay/tests/commands.rs
@@ -1,4 +1,5 @@
-//! The tool against a small operators' port: commands, lost answers, exit codes.
+//! Tests of the command-line tool against a fake operators' port: commands, lost
+//! answers and exit codes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,39 +10,42 @@
     path::PathBuf,
 };
 
-use admin::{Admin, Fault, code, errors, run};
+use admin::{AdminServer, Fault, exit_code, run, stderr_text};
 use kingcupbay_core::config::model::KeyHash;
 
-const WINERY: &[&str] = &["organisation", "set", "winery", "--rate", "100", "--burst", "1000"];
+const SET_WINERY: &[&str] = &["organisation", "set", "winery", "--rate", "100", "--burst", "1000"];
 
-/// A file of this test's own in the build's directory for them.
-fn file(name: &str, text: &str) -> String {
+/// Writes a file into the directory for temporary files of tests and returns its
+/// path.
+fn write_file(name: &str, text: &str) -> String {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
     path.to_str().unwrap().to_owned()
 }
 
+/// Runs the commands that change or list rows and compares the tables, so that a
+/// command that sends a wrong change or prints a wrong column is found.
 #[test]
 fn every_command_changes_or_shows_its_row() {
-    let admin = Admin::start(&[]);
+    let admin = AdminServer::start(&[]);
     let words = |line: &'static str| line.split(' ').collect::<Vec<_>>();
-    assert_eq!(admin.done(WINERY), "number 1 is in force\n");
-    admin.done(&words("adapter set tasting --organisation winery --base small"));
-    admin.done(&words("version add tasting@v1 --source w/1"));
-    admin.done(&words("version add tasting@v2 --source w/2"));
-    admin.done(&words("adapter set tasting --organisation winery --base small --default v1"));
-    // A default that is not named again stays.
-    admin.done(&words("adapter set tasting --organisation winery --base large"));
-    admin.done(&words("version remove tasting@v2"));
-    admin.done(&words(
+    assert_eq!(admin.run_ok(SET_WINERY), "number 1 is in force\n");
+    admin.run_ok(&words("adapter set tasting --organisation winery --base small"));
+    admin.run_ok(&words("version add tasting@v1 --source w/1"));
+    admin.run_ok(&words("version add tasting@v2 --source w/2"));
+    admin.run_ok(&words("adapter set tasting --organisation winery --base small --default v1"));
+    // Without --default the default of the adapter is kept.
+    admin.run_ok(&words("adapter set tasting --organisation winery --base large"));
+    admin.run_ok(&words("version remove tasting@v2"));
+    admin.run_ok(&words(
         "upstream set gpu1 --host h1 --address 127.0.0.1:9 --zone z1 --base large --slots 4 \
          --fenced true",
     ));
-    admin.done(&words("upstream leave gpu1"));
-    admin.done(&words(
+    admin.run_ok(&words("upstream leave gpu1"));
+    admin.run_ok(&words(
         "upstream set desk --host h2 --address 127.0.0.1:8 --zone z1 --service booking",
     ));
-    admin.done(&words("route set book --organisation winery --service booking --once true"));
+    admin.run_ok(&words("route set book --organisation winery --service booking --once true"));
     let listed = [
         ("organisation list", "NAME    RATE  BURST\nwinery  100   1000\n"),
         (
@@ -63,179 +67,194 @@
         ("export --json", "{\n  \"declaration\": \"[organisation winery]\\nrate = 100\\n"),
     ];
     for (line, expected) in listed {
-        let printed = admin.done(&words(line));
+        let printed = admin.run_ok(&words(line));
         assert!(printed.starts_with(expected), "{line}:\n{printed}");
     }
     let rows: serde_json::Value =
-        serde_json::from_str(&admin.done(&words("route list --json"))).unwrap();
+        serde_json::from_str(&admin.run_ok(&words("route list --json"))).unwrap();
     let book = serde_json::json!({
         "name": "book", "organisation": "winery", "service": "booking", "once": true,
     });
     assert_eq!(rows, serde_json::json!([book]));
-    admin.done(&words("route remove book"));
-    admin.done(&words("upstream remove desk"));
-    admin.done(&words("adapter remove tasting"));
-    admin.done(&words("organisation remove winery"));
-    let history = admin.done(&words("history --after 14"));
+    admin.run_ok(&words("route remove book"));
+    admin.run_ok(&words("upstream remove desk"));
+    admin.run_ok(&words("adapter remove tasting"));
+    admin.run_ok(&words("organisation remove winery"));
+    let history = admin.run_ok(&words("history --after 14"));
     let last = history.lines().last().unwrap();
     assert!(last.starts_with("15 "), "{history}");
     assert!(last.ends_with("ops     remove organisation winery"), "{history}");
 }
 
+/// The tool must send only the hash of a key: whoever reads the configuration or
+/// its history must not find a secret there.
 #[test]
 fn a_key_is_shown_once_and_only_its_hash_is_sent() {
-    let admin = Admin::start(&[]);
-    admin.done(WINERY);
-    let secret = admin.done(&["key", "issue", "desk", "--organisation", "winery"]);
+    let admin = AdminServer::start(&[]);
+    admin.run_ok(SET_WINERY);
+    let secret = admin.run_ok(&["key", "issue", "desk", "--organisation", "winery"]);
     let secret = secret.trim();
     assert!(secret.starts_with("kcb_") && secret.len() == 4 + 64, "{secret}");
     assert!(admin.state.lock().unwrap().config.key(secret).is_some());
     let sent = serde_json::to_string(&admin.state.lock().unwrap().posted).unwrap();
     assert!(!sent.contains(&secret[4..]));
-    let list = admin.done(&["key", "list"]);
+    let list = admin.run_ok(&["key", "list"]);
     assert!(list.contains(&hex::encode(KeyHash::of(secret).0)), "{list}");
-    admin.done(&["key", "withdraw", "desk"]);
+    admin.run_ok(&["key", "withdraw", "desk"]);
     assert!(admin.state.lock().unwrap().config.key(secret).is_none());
 }
 
+/// Two operators may change the configuration at once. A change made against an
+/// older number must not overwrite the newer one, and its operator needs the
+/// number in force to try again.
 #[test]
 fn a_stale_patch_changes_nothing_and_names_the_number_in_force() {
-    let admin = Admin::start(&[]);
-    admin.done(WINERY);
-    let stale = admin.run(&[WINERY, &["--against", "0"]].concat());
-    assert_eq!(code(&stale), 3);
-    assert_eq!(errors(&stale), "kingcupbay: stale: made against 0, but 1 is in force\n");
-    let stale = admin.run(&[WINERY, &["--against", "0", "--json"]].concat());
-    assert!(errors(&stale).contains("\"current\":1"), "{}", errors(&stale));
-    let files = file("stale.ini", "[organisation winery]\nrate = 1\nburst = 1\n");
+    let admin = AdminServer::start(&[]);
+    admin.run_ok(SET_WINERY);
+    let stale = admin.run(&[SET_WINERY, &["--against", "0"]].concat());
+    assert_eq!(exit_code(&stale), 3);
+    assert_eq!(stderr_text(&stale), "kingcupbay: stale: made against 0, but 1 is in force\n");
+    let stale = admin.run(&[SET_WINERY, &["--against", "0", "--json"]].concat());
+    assert!(stderr_text(&stale).contains("\"current\":1"), "{}", stderr_text(&stale));
+    let files = write_file("stale.ini", "[organisation winery]\nrate = 1\nburst = 1\n");
     let stale = admin.run(&["apply", "--against", "0", &files]);
-    assert_eq!((code(&stale), admin.state.lock().unwrap().history.len()), (3, 1));
+    assert_eq!((exit_code(&stale), admin.state.lock().unwrap().history.len()), (3, 1));
 }
 
-/// The daemon's connection closes after the table took the patch. An operator
-/// who repeats by hand would make the change twice or be told "stale" about
-/// their own patch; the tool repeats the same id and learns that it is done.
+/// The connection closes before or after the table took the patch, or no majority
+/// holds the patch yet. If the operator repeated the command, the change would be
+/// made twice or be refused as stale because of the operator's own patch. The tool
+/// instead posts the patch again with the same id and gets its result.
 #[test]
 fn a_lost_answer_is_resolved_by_the_same_patch_again() {
     for lost in [Fault::LostAnswer, Fault::LostRequest, Fault::Unacknowledged] {
-        let admin = Admin::start(&[lost]);
-        assert_eq!(admin.done(WINERY), "number 1 is in force\n");
+        let admin = AdminServer::start(&[lost]);
+        assert_eq!(admin.run_ok(SET_WINERY), "number 1 is in force\n");
         let state = admin.state.lock().unwrap();
         assert_eq!((state.posted.len(), state.history.len()), (2, 1));
         assert_eq!(state.posted[0], state.posted[1]);
     }
 }
 
-/// The answer is lost, and the daemon asked next calls the repeat stale: its
-/// own patch made the next number. Telling the operator "nothing changed"
-/// would be false; the history tells whose patch it was.
+/// The answer is lost and the repeated patch is refused as stale, because the
+/// first post made the next number and its id is not recognised. The message
+/// "nothing changed" would be wrong; the history says whose patch made the number.
 #[test]
-fn a_stale_answer_after_a_lost_one_is_settled_by_the_history() {
-    let admin = Admin::start(&[Fault::LostAndForgotten]);
-    assert_eq!(admin.done(WINERY), "number 1 was taken\n");
-    let admin = Admin::start(&[Fault::Overtaken]);
-    let stale = admin.run(WINERY);
-    assert_eq!(code(&stale), 3, "{}", errors(&stale));
+fn a_stale_answer_after_a_lost_one_is_resolved_by_the_history() {
+    let admin = AdminServer::start(&[Fault::LostAndForgotten]);
+    assert_eq!(admin.run_ok(SET_WINERY), "number 1 was taken\n");
+    let admin = AdminServer::start(&[Fault::Overtaken]);
+    let stale = admin.run(SET_WINERY);
+    assert_eq!(exit_code(&stale), 3, "{}", stderr_text(&stale));
 }
 
+/// One of the named daemons is down. The command must still succeed by another
+/// one, or else fail with an error that names the unreachable daemon.
 #[test]
 fn a_daemon_that_cannot_be_reached_is_passed_over() {
-    let admin = Admin::start(&[]);
-    // The near end of a connection: held, so nobody can come to listen there.
+    let admin = AdminServer::start(&[]);
+    // The local address of a connection that stays open, so that no process can
+    // listen there.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let held = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let gone = held.local_addr().unwrap();
-    let output = run(&[gone, admin.address], WINERY);
-    assert_eq!(code(&output), 0, "{}", errors(&output));
-    let none = run(&[gone], WINERY);
-    assert_eq!(code(&none), 4);
-    assert!(errors(&none).contains(&gone.to_string()));
+    let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let unreachable = stream.local_addr().unwrap();
+    let output = run(&[unreachable, admin.address], SET_WINERY);
+    assert_eq!(exit_code(&output), 0, "{}", stderr_text(&output));
+    let none = run(&[unreachable], SET_WINERY);
+    assert_eq!(exit_code(&none), 4);
+    assert!(stderr_text(&none).contains(&unreachable.to_string()));
 }
 
-/// A daemon says truly that nothing reached the table; another one does not
-/// know. The operator must not be told "nothing changed" in the second case.
+/// A daemon may know that a patch did not reach the table, or not know its
+/// outcome. The message "nothing changed" is correct only in the first case.
 #[test]
-fn not_taken_is_told_apart_from_unknown() {
-    let admin = Admin::start(&[Fault::NotTaken; 3]);
-    let output = admin.run(WINERY);
-    assert_eq!(code(&output), 4, "{}", errors(&output));
-    let told = "no daemon could do it; nothing changed";
-    let down = format!("kingcupbay: {told}\n{}: the table is down\n", admin.address);
-    assert_eq!(errors(&output), down);
+fn a_patch_not_taken_is_distinguished_from_an_unknown_outcome() {
+    let admin = AdminServer::start(&[Fault::NotTaken; 3]);
+    let output = admin.run(SET_WINERY);
+    assert_eq!(exit_code(&output), 4, "{}", stderr_text(&output));
+    let message = "no daemon could do it; nothing changed";
+    let expected = format!("kingcupbay: {message}\n{}: the table is down\n", admin.address);
+    assert_eq!(stderr_text(&output), expected);
     for faults in [
         [Fault::Unknown; 3],
         [Fault::LostRequest; 3],
         [Fault::Unacknowledged; 3],
         [Fault::NotTaken, Fault::Unknown, Fault::NotTaken],
     ] {
-        let admin = Admin::start(&faults);
-        let output = admin.run(WINERY);
-        assert_eq!(code(&output), 5, "{}", errors(&output));
+        let admin = AdminServer::start(&faults);
+        let output = admin.run(SET_WINERY);
+        assert_eq!(exit_code(&output), 5, "{}", stderr_text(&output));
         let id = admin.state.lock().unwrap().posted[0].id;
-        assert!(errors(&output).contains(&format!("patch {id}")));
+        assert!(stderr_text(&output).contains(&format!("patch {id}")));
     }
 }
 
+/// Files are planned, compared and applied. Applying them again must find no
+/// change and post no patch, so that a repeated apply makes no new number.
 #[test]
-fn files_are_planned_applied_and_planned_to_nothing() {
-    let admin = Admin::start(&[]);
-    let first = file("first.ini", "[organisation winery]\nrate = 1\nburst = 2\n");
+fn an_applied_declaration_plans_no_further_change() {
+    let admin = AdminServer::start(&[]);
+    let first = write_file("first.ini", "[organisation winery]\nrate = 1\nburst = 2\n");
     let text = "[adapter tasting]\norganisation = winery\nbase = small\n";
-    let second = file("second.ini", text);
-    let plan = admin.done(&["plan", &first, &second]);
+    let second = write_file("second.ini", text);
+    let plan = admin.run_ok(&["plan", &first, &second]);
     let expected = "against 0: 2 changes\n  set organisation winery rate=1 burst=2\n  \
                     set adapter tasting organisation=winery base=small default=-\n";
     assert_eq!(plan, expected);
-    assert!(admin.done(&["diff", &first]).starts_with("+[organisation winery]\n+rate = 1\n"));
-    let applied = admin.done(&["apply", "--against", "0", &first, &second]);
+    assert!(admin.run_ok(&["diff", &first]).starts_with("+[organisation winery]\n+rate = 1\n"));
+    let applied = admin.run_ok(&["apply", "--against", "0", &first, &second]);
     assert_eq!(applied, "number 1 is in force, 2 changes\n");
-    assert_eq!(admin.done(&["diff", &first, &second]), "");
-    let again = admin.done(&["apply", "--against", "1", &first, &second]);
+    assert_eq!(admin.run_ok(&["diff", &first, &second]), "");
+    let again = admin.run_ok(&["apply", "--against", "1", &first, &second]);
     assert_eq!(again, "number 1 is in force, no change\n");
     assert_eq!(admin.state.lock().unwrap().posted.len(), 1);
     assert_eq!(
-        admin.done(&["export"]),
+        admin.run_ok(&["export"]),
         format!("{}\n{text}", std::fs::read_to_string(&first).unwrap())
     );
 }
 
+/// A declaration with mistakes or a change that is refused must be reported with
+/// file and line; a daemon, which gets only the changes, cannot name the line.
 #[test]
-fn a_declaration_that_does_not_check_is_refused_with_its_line() {
-    let admin = Admin::start(&[]);
-    let bad = file("bad.ini", "[organisation winery]\nrate = 0\nburst = 2\ncolour = red\n");
+fn an_invalid_declaration_is_refused_with_its_line() {
+    let admin = AdminServer::start(&[]);
+    let bad = write_file("bad.ini", "[organisation winery]\nrate = 0\nburst = 2\ncolour = red\n");
     let output = admin.run(&["plan", &bad]);
-    assert_eq!(code(&output), 1);
-    let shown = errors(&output);
+    assert_eq!(exit_code(&output), 1);
+    let shown = stderr_text(&output);
     assert!(shown.contains("bad.ini:2: [organisation winery] rate: found \"0\""), "{shown}");
     assert!(shown.contains("bad.ini:4: [organisation winery] colour"), "{shown}");
     let version = "[organisation w]\nrate = 1\nburst = 1\n[adapter a]\norganisation = w\n\
                    base = b\n[version a@v1]\nsource = one\n";
-    admin.done(&["apply", "--against", "0", &file("version.ini", version)]);
-    let edited = file("edited.ini", &version.replace("one", "other"));
+    admin.run_ok(&["apply", "--against", "0", &write_file("version.ini", version)]);
+    let edited = write_file("edited.ini", &version.replace("one", "other"));
     let output = admin.run(&["apply", "--against", "1", &edited]);
-    assert_eq!(code(&output), 1);
-    assert!(errors(&output).contains("edited.ini:7: version a@v1: source = other"));
+    assert_eq!(exit_code(&output), 1);
+    assert!(stderr_text(&output).contains("edited.ini:7: version a@v1: source = other"));
 }
 
+/// Scripts must be able to tell usage errors (2) from refusals (1).
 #[test]
-fn usage_errors_and_refusals_have_their_codes() {
-    let admin = Admin::start(&[]);
+fn usage_errors_and_refusals_have_their_exit_codes() {
+    let admin = AdminServer::start(&[]);
     let refused = admin.run(&["organisation", "remove", "nobody"]);
-    assert_eq!(code(&refused), 1);
-    assert_eq!(errors(&refused), "kingcupbay: refused: organisation nobody does not exist\n");
-    assert_eq!(code(&admin.run(&["upstream", "leave", "nobody"])), 1);
-    assert_eq!(code(&admin.run(&["member", "leave", "nobody"])), 1);
+    assert_eq!(exit_code(&refused), 1);
+    assert_eq!(stderr_text(&refused), "kingcupbay: refused: organisation nobody does not exist\n");
+    assert_eq!(exit_code(&admin.run(&["upstream", "leave", "nobody"])), 1);
+    assert_eq!(exit_code(&admin.run(&["member", "leave", "nobody"])), 1);
     let absent = admin.run(&["dump", "h9"]);
-    assert_eq!(code(&absent), 1);
-    assert_eq!(errors(&absent), "kingcupbay: refused: no such member\n");
-    assert_eq!(code(&admin.run(&["plan", "/nowhere/x.ini"])), 2);
-    assert_eq!(code(&admin.run(&["apply", "x.ini"])), 2);
-    assert_eq!(code(&admin.run(&["organisation", "list", "--colour"])), 2);
-    assert_eq!(code(&run(&[], &["organisation", "list"])), 2);
+    assert_eq!(exit_code(&absent), 1);
+    assert_eq!(stderr_text(&absent), "kingcupbay: refused: no such member\n");
+    assert_eq!(exit_code(&admin.run(&["plan", "/nowhere/x.ini"])), 2);
+    assert_eq!(exit_code(&admin.run(&["apply", "x.ini"])), 2);
+    assert_eq!(exit_code(&admin.run(&["organisation", "list", "--colour"])), 2);
+    assert_eq!(exit_code(&run(&[], &["organisation", "list"])), 2);
 }
 
-/// Completions and the man page are committed; they must say what the tool
-/// does. When this fails, write them again with the command it names.
+/// The completions and the man page are committed and become outdated when the
+/// command line changes. If this test fails, generate them again with the command
+/// in its message.
 #[test]
 fn the_committed_pages_are_current() {
     let pages = [
