--- a/kingcupbay/src/key.rs
+++ b/kingcupbay/src/key.rs
@@ -80,9 +80,9 @@
 
 /// Issues a key and returns its secret.
 ///
-/// The secret is shown only if the key is in force. After exit code 5, the
-/// operator looks for the label in the list of keys, withdraws that key and
-/// issues another one.
+/// The secret is shown only if the patch with the key was taken. After exit code
+/// 5, the operator looks for the label in the list of keys, withdraws that key
+/// and issues another one.
 async fn issue_key(
     session: &Session,
     label: Name,
