--- a/kingcupbay/src/declaration.rs
+++ b/kingcupbay/src/declaration.rs
@@ -106,7 +106,7 @@
     match config.patched(&patch) {
         Ok(_) => Ok(patch.changes),
         Err(PatchError::Refused { index, refusal }) => {
-            let place = declared.place(&patch.changes[index]).cloned();
+            let place = declared.location(&patch.changes[index]).cloned();
             Err(Error::Refused { place, refusal })
         }
         Err(error) => Err(error.into()),
--- a/kingcupbay/src/error.rs
+++ b/kingcupbay/src/error.rs
@@ -4,7 +4,7 @@
 
 use kingcupbay_core::{
     config::{change::Refusal, patch::PatchError},
-    declare::model::Place,
+    declare::model::Location,
     id::Number,
     ini::Mistake,
 };
@@ -21,7 +21,7 @@
     #[error("refused: {}{refusal}", prefix(place))]
     Refused {
         /// Where it is declared, if it is.
-        place: Option<Place>,
+        place: Option<Location>,
         /// Why.
         refusal: Refusal,
     },
@@ -102,6 +102,6 @@
     items.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
-fn prefix(place: &Option<Place>) -> String {
+fn prefix(place: &Option<Location>) -> String {
     place.as_ref().map(|place| format!("{place}: ")).unwrap_or_default()
 }
--- a/kingcupbay_core/src/arena.rs
+++ b/kingcupbay_core/src/arena.rs
@@ -1,8 +1,8 @@
-//! Rows under small keys that are never given out twice.
+//! Storage for rows with small keys that are never reused.
 //!
-//! Every daemon applies the same changes in the same order, so a key means
-//! the same row on every host and may travel in messages. A general arena
-//! that reuses freed places would not keep that through a snapshot.
+//! Every daemon applies the same changes in the same order, so a key refers to
+//! the same row on every host and can be sent in messages. An arena that reuses
+//! freed slots would not guarantee this after a restart from a snapshot.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 use crate::id::Id;
 
-/// Rows of one kind by their key.
+/// Rows of one kind by key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(bound(
@@ -19,7 +19,7 @@
 ))]
 pub struct Arena<K, T> {
     rows: BTreeMap<K, T>,
-    /// The key given out next. Invariant: greater than every key in `rows`.
+    /// Next key to assign. Invariant: greater than every key in `rows`.
     next: u32,
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl<K: Id, T> Arena<K, T> {
-    /// Stores `row` and gives out its key.
+    /// Stores `row` and returns its new key.
     pub fn insert(&mut self, row: T) -> K {
         let id = K::from_raw(self.next);
         self.next += 1;
@@ -38,32 +38,32 @@
         id
     }
 
-    /// Takes a row out; its key is not given out again.
+    /// Removes and returns a row; its key is not reused.
     pub fn remove(&mut self, id: K) -> Option<T> {
         self.rows.remove(&id)
     }
 
-    /// The row under `id`, if it is still there.
+    /// Returns the row with key `id`.
     pub fn get(&self, id: K) -> Option<&T> {
         self.rows.get(&id)
     }
 
-    /// The row under `id`, to be changed.
+    /// Returns the row with key `id` for modification.
     pub fn get_mut(&mut self, id: K) -> Option<&mut T> {
         self.rows.get_mut(&id)
     }
 
-    /// All rows in the order of their keys.
+    /// Iterates over all rows in key order.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = (K, &T)> {
         self.rows.iter().map(|(&id, row)| (id, row))
     }
 
-    /// How many rows there are.
+    /// Returns the number of rows.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether there is no row.
+    /// Returns whether there are no rows.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
--- a/kingcupbay_core/src/config/change.rs
+++ b/kingcupbay_core/src/config/change.rs
@@ -1,4 +1,4 @@
-//! What a patch may do to a configuration, and why it may be refused.
+//! Changes that a patch makes to a configuration, and reasons to refuse them.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -8,120 +8,120 @@
 };
 use crate::id::{AdapterId, MemberId, Name, OrganisationId};
 
-/// One change. `Set…` makes the row or replaces its content.
+/// One change. `Set…` creates the row or replaces its content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// Makes or changes an organisation.
+    /// Creates or changes an organisation.
     SetOrganisation {
-        /// Its name.
+        /// Name of the organisation.
         name: Name,
-        /// Tokens a second.
+        /// Tokens per second.
         rate: u64,
-        /// Tokens at once.
+        /// Most tokens that may be used at once.
         burst: u64,
     },
     /// Removes an organisation that nothing refers to.
     RemoveOrganisation {
-        /// Its name.
+        /// Name of the organisation.
         name: Name,
     },
-    /// Issues an access key. A label is never issued twice while in use.
+    /// Issues an access key. Refused while the label is in use.
     IssueKey {
-        /// Its label.
+        /// Label of the key.
         label: Name,
-        /// Whose key.
+        /// Organisation that the key belongs to.
         organisation: Name,
         /// Hash of the secret.
         hash: KeyHash,
     },
     /// Withdraws an access key.
     WithdrawKey {
-        /// Its label.
+        /// Label of the key.
         label: Name,
     },
-    /// Makes or changes an adapter. Its organisation never changes.
+    /// Creates or changes an adapter. Its organisation cannot change.
     SetAdapter {
-        /// Its name.
+        /// Name of the adapter.
         name: Name,
-        /// Whose adapter.
+        /// Organisation that owns the adapter.
         organisation: Name,
-        /// Base model.
+        /// Base model that the adapter extends.
         base: Name,
-        /// Label of the default version.
+        /// Label of the version used when a request names only the adapter.
         default: Option<Name>,
     },
     /// Removes an adapter with all its versions.
     RemoveAdapter {
-        /// Its name.
+        /// Name of the adapter.
         name: Name,
     },
-    /// Makes a version. Its source never changes.
+    /// Creates a version. Its source cannot change.
     SetVersion {
-        /// The adapter.
+        /// Name of the adapter.
         adapter: Name,
-        /// The version's label.
+        /// Label of the version.
         label: Name,
-        /// Where the weight store keeps it.
+        /// Path in the weight store.
         source: String,
     },
     /// Removes a version that is not its adapter's default.
     RemoveVersion {
-        /// The adapter.
+        /// Name of the adapter.
         adapter: Name,
-        /// The version's label.
+        /// Label of the version.
         label: Name,
     },
-    /// Makes or changes an upstream.
+    /// Creates or changes an upstream.
     SetUpstream {
-        /// The whole row.
+        /// The complete row.
         upstream: Upstream,
     },
     /// Removes an upstream.
     RemoveUpstream {
-        /// Its name.
+        /// Name of the upstream.
         name: Name,
     },
-    /// Makes or changes a route.
+    /// Creates or changes a route.
     SetRoute {
-        /// Its name.
+        /// Name of the route.
         name: Name,
-        /// Who may use it.
+        /// Organisation that may use the route.
         organisation: Name,
-        /// Service behind it.
+        /// Service that the route leads to.
         service: Name,
         /// Whether a call runs at most once.
         once: bool,
     },
     /// Removes a route.
     RemoveRoute {
-        /// Its name.
+        /// Name of the route.
         name: Name,
     },
-    /// A daemon joins, or joins again with a new incarnation.
+    /// Adds a daemon as a member, or replaces it with a new incarnation.
     Join {
-        /// Its host.
+        /// Host of the daemon.
         host: Name,
-        /// Address of its peers' port.
+        /// Address that other daemons connect to, `IP:PORT`.
         address: String,
-        /// Its availability zone.
+        /// Availability zone of the host.
         zone: Name,
-        /// Its role.
+        /// Role of the daemon.
         role: Role,
-        /// Drawn at its start.
+        /// Random number drawn when the daemon starts.
         incarnation: u64,
     },
-    /// A daemon is gone.
+    /// Removes a member.
     Leave {
-        /// Its host.
+        /// Host of the daemon.
         host: Name,
-        /// The incarnation that is gone; another one stays.
+        /// Incarnation to remove; refused if another incarnation has joined since.
         incarnation: u64,
     },
 }
 
-/// Why a change is refused. The row and field are named.
+/// Why a change is refused, with the row and field concerned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, Error)]
 pub enum Refusal {
@@ -130,7 +130,7 @@
     Missing {
         /// Kind of row.
         kind: String,
-        /// Its name.
+        /// Name of the row.
         name: String,
     },
     /// A row that must not exist does.
@@ -138,7 +138,7 @@
     Exists {
         /// Kind of row.
         kind: String,
-        /// Its name.
+        /// Name of the row.
         name: String,
     },
     /// Another row refers to this one.
@@ -146,9 +146,9 @@
     InUse {
         /// Kind of row.
         kind: String,
-        /// Its name.
+        /// Name of the row.
         name: String,
-        /// The row that refers to it.
+        /// The row that refers to this one.
         user: String,
     },
     /// A field's value is not allowed.
@@ -156,13 +156,13 @@
     Value {
         /// Kind of row.
         kind: String,
-        /// Its name.
+        /// Name of the row.
         name: String,
-        /// The field.
+        /// Name of the field.
         field: String,
-        /// Its value.
+        /// Value of the field.
         found: String,
-        /// What is allowed.
+        /// Description of the allowed values.
         allowed: String,
     },
 }
@@ -203,7 +203,11 @@
 }
 
 impl Config {
-    /// Carries out one change, or refuses it and changes nothing.
+    /// Applies one change.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the change is refused; the configuration is then unchanged.
     pub fn change(&mut self, change: &Change) -> Result<(), Refusal> {
         match change {
             Change::SetOrganisation { name, rate, burst } => {
@@ -432,8 +436,8 @@
 
     fn join(&mut self, member: Member) -> Result<(), Refusal> {
         check_address("member", &member.host, &member.address)?;
-        // A new incarnation is another member: whoever still counts vouches
-        // of the old one must not take them for the new one's.
+        // A new incarnation gets a new member id, so that vouches of the old
+        // incarnation are not counted for the new one.
         if let Some(old) = self.member_names.remove(&member.host) {
             self.members.remove(old);
         }
--- a/kingcupbay_core/src/config/model.rs
+++ b/kingcupbay_core/src/config/model.rs
@@ -14,7 +14,8 @@
     },
 };
 
-/// SHA-256 of an access key. Keys are 256 random bits, so a plain hash does.
+/// SHA-256 of an access key. Keys are 256 random bits, so a hash without salt
+/// is sufficient.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
@@ -22,41 +23,41 @@
 pub struct KeyHash(#[serde_as(as = "Hex")] pub [u8; 32]);
 
 impl KeyHash {
-    /// The hash of a key as a caller presents it.
+    /// Hashes a key as presented by a caller.
     pub fn of(secret: &str) -> KeyHash {
         KeyHash(Sha256::digest(secret.as_bytes()).into())
     }
 }
 
-/// A customer with keys, adapters and a limit of its own.
+/// A customer with its own keys, adapters and rate limit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Organisation {
-    /// Its name.
+    /// Name of the organisation.
     pub name: Name,
-    /// Tokens a second.
+    /// Tokens per second.
     pub rate: u64,
-    /// Tokens at once.
+    /// Most tokens that may be used at once.
     pub burst: u64,
 }
 
-/// What an organisation may have over the whole fleet.
+/// Rate limit of an organisation over the whole fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Total {
-    /// Tokens a second.
+    /// Tokens per second.
     pub rate: u64,
-    /// Tokens at once.
+    /// Most tokens that may be used at once.
     pub burst: u64,
 }
 
-/// An access key that callers present.
+/// An access key of an organisation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Key {
-    /// Operators' label.
+    /// Label given by the operator.
     pub label: Name,
-    /// Whose key it is.
+    /// Organisation that the key belongs to.
     pub organisation: OrganisationId,
     /// Hash of the secret.
     pub hash: KeyHash,
@@ -66,15 +67,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Adapter {
-    /// Its name, unique over all organisations.
+    /// Name of the adapter, unique across all organisations.
     pub name: Name,
-    /// Whose adapter it is.
+    /// Organisation that owns the adapter.
     pub organisation: OrganisationId,
-    /// The base model it is made for.
+    /// Base model that the adapter extends.
     pub base: Name,
-    /// Version that a bare adapter name means.
+    /// Version used when a request names only the adapter.
     pub default: Option<VersionId>,
-    /// Its versions by label.
+    /// Versions of the adapter by label.
     pub versions: BTreeMap<Name, VersionId>,
 }
 
@@ -82,29 +83,29 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Version {
-    /// The adapter.
+    /// Adapter that the version belongs to.
     pub adapter: AdapterId,
-    /// Its label.
+    /// Label of the version.
     pub label: Name,
-    /// Where the weight store keeps it.
+    /// Path in the weight store.
     pub source: String,
 }
 
-/// A back end and the daemon in front of it.
+/// An engine or plain service, reached through the daemon on its host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Upstream {
-    /// Its name.
+    /// Name of the upstream.
     pub name: Name,
-    /// The host whose daemon owns it.
+    /// Host whose daemon owns the upstream.
     pub host: Name,
     /// Address of the engine or service, `IP:PORT`.
     pub address: String,
-    /// Its availability zone.
+    /// Availability zone of the upstream.
     pub zone: Name,
-    /// What it serves.
+    /// What the upstream serves.
     pub serves: Serves,
-    /// A leaving upstream gets no new work.
+    /// Whether the upstream is leaving; it then receives no new requests.
     pub leaving: bool,
 }
 
@@ -115,29 +116,29 @@
 pub enum Serves {
     /// Adapters of a base model.
     Model {
-        /// The base model.
+        /// Name of the base model.
         base: Name,
-        /// Adapter slots.
+        /// Number of adapter slots.
         slots: u32,
-        /// Whether the engine refuses old fencing numbers.
+        /// Whether the engine rejects outdated fencing numbers.
         fenced: bool,
     },
     /// A plain service.
     Service {
-        /// Name that routes refer to.
+        /// Service name that routes refer to.
         service: Name,
     },
 }
 
-/// A way for callers to a plain service.
+/// A route from callers to a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Route {
-    /// Its name, the first segment of the path.
+    /// Name of the route, the first segment of the request path.
     pub name: Name,
     /// The organisation that may use it.
     pub organisation: OrganisationId,
-    /// The service behind it.
+    /// Service that the route leads to.
     pub service: Name,
     /// Whether a call runs at most once.
     pub once: bool,
@@ -148,9 +149,9 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Beside callers, behind the balancer.
+    /// Runs beside callers, behind the load balancer.
     Entry,
-    /// Beside one upstream host.
+    /// Runs on the host of an upstream.
     Upstream,
 }
 
@@ -158,34 +159,34 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Member {
-    /// Its host.
+    /// Host of the daemon.
     pub host: Name,
-    /// Address of its peers' port, `IP:PORT`.
+    /// Address that other daemons connect to, `IP:PORT`.
     pub address: String,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: Name,
-    /// Its role.
+    /// Role of the daemon.
     pub role: Role,
-    /// Drawn at each start. A restarted daemon vouches for nothing until a
-    /// store read has shown it its own new incarnation.
+    /// Random number drawn at each start. A restarted daemon vouches for no one
+    /// until it has read its own new incarnation from the store.
     pub incarnation: u64,
 }
 
 /// A whole configuration.
 ///
-/// Invariants: every id held by a row names a row that exists; each `*_names`
-/// index holds exactly the rows of its arena. [`change`](super::change) keeps
-/// both, and is the only writer.
+/// Invariants: every id in a row refers to an existing row; each `*_names`
+/// index holds exactly the rows of its arena. [`change`](super::change) is the
+/// only writer and preserves both.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Config {
-    /// Its number.
+    /// Number of the configuration.
     pub number: Number,
-    /// The number that last changed an organisation's rate or burst, or which
-    /// entries there are: the epoch of the rate shares. A reader of a snapshot
-    /// could not tell it otherwise.
+    /// Epoch of the rate shares: the number of the last change to an
+    /// organisation's rate or burst or to the set of entries. It is stored
+    /// because a daemon that starts from a snapshot cannot derive it.
     pub shares: Number,
-    /// The number at which an entry last left; zero when none ever has.
+    /// Number at which an entry last left; zero if none ever has.
     pub left: Number,
     /// Organisations.
     pub organisations: Arena<OrganisationId, Organisation>,
@@ -216,15 +217,15 @@
 }
 
 impl Config {
-    /// The access key a caller presented.
+    /// Finds the access key that a caller presented.
     pub fn key(&self, secret: &str) -> Option<(KeyId, &Key)> {
         self.key_by_hash(KeyHash::of(secret))
     }
 
-    /// The access key with this hash.
+    /// Finds the access key with this hash.
     ///
-    /// The comparison of each hash takes the same time wherever it differs,
-    /// and every key is compared, so an attacker learns nothing by timing.
+    /// Hashes are compared in constant time and every key is compared, so
+    /// response times reveal nothing about the stored keys.
     pub fn key_by_hash(&self, hash: KeyHash) -> Option<(KeyId, &Key)> {
         let mut found = None;
         for (id, key) in self.keys.iter() {
@@ -235,9 +236,9 @@
         found
     }
 
-    /// The adapter version that `model` names for `organisation`:
-    /// `adapter@version`, or a bare adapter with a default version. Another
-    /// organisation's adapter is answered as one that does not exist.
+    /// Finds the adapter version that `model` names: `adapter@version`, or an
+    /// adapter name alone if it has a default version. Returns `None` for an
+    /// adapter of another organisation, as for one that does not exist.
     pub fn version(&self, organisation: OrganisationId, model: &str) -> Option<VersionId> {
         let (adapter, label) = match model.split_once('@') {
             Some((adapter, label)) => (adapter, Some(label)),
@@ -254,42 +255,42 @@
         }
     }
 
-    /// `adapter@version` of a version, as engines know it.
-    pub fn model(&self, id: VersionId) -> Option<String> {
+    /// Returns the name of a version on engines, `adapter@version`.
+    pub fn model_name(&self, id: VersionId) -> Option<String> {
         let version = self.versions.get(id)?;
         let adapter = self.adapters.get(version.adapter)?;
         Some(format!("{}@{}", adapter.name, version.label))
     }
 
-    /// The version that engines know as `adapter@version`.
-    pub fn version_of(&self, model: &str) -> Option<VersionId> {
+    /// Finds the version named `adapter@version` on engines.
+    pub fn version_by_model(&self, model: &str) -> Option<VersionId> {
         let (adapter, label) = model.split_once('@')?;
         let id = *self.adapter_names.get(&adapter.parse::<Name>().ok()?)?;
         let row = self.adapters.get(id)?;
         row.versions.get(&label.parse::<Name>().ok()?).copied()
     }
 
-    /// The route named `name` if `organisation` may use it.
+    /// Finds the route `name` if `organisation` may use it.
     pub fn route(&self, organisation: OrganisationId, name: &str) -> Option<(RouteId, &Route)> {
         let id = *self.route_names.get(&name.parse::<Name>().ok()?)?;
         let row = self.routes.get(id)?;
         (row.organisation == organisation).then_some((id, row))
     }
 
-    /// Rate and burst of every organisation.
+    /// Returns the rate and burst of every organisation.
     pub fn totals(&self) -> BTreeMap<OrganisationId, Total> {
         let total = |row: &Organisation| Total { rate: row.rate, burst: row.burst };
         self.organisations.iter().map(|(id, row)| (id, total(row))).collect()
     }
 
-    /// Incarnations of the entries.
-    pub fn entries(&self) -> BTreeSet<u64> {
+    /// Returns the incarnations of all entries.
+    pub fn entry_incarnations(&self) -> BTreeSet<u64> {
         let entry = |member: &Member| member.role == Role::Entry;
         let entries = self.members.iter().filter(|(_, member)| entry(member));
         entries.map(|(_, member)| member.incarnation).collect()
     }
 
-    /// The member on `host`.
+    /// Finds the member on `host`.
     pub fn member(&self, host: &Name) -> Option<(MemberId, &Member)> {
         let id = *self.member_names.get(host)?;
         Some((id, self.members.get(id)?))
--- a/kingcupbay_core/src/config/patch.rs
+++ b/kingcupbay_core/src/config/patch.rs
@@ -15,12 +15,13 @@
 /// Prefix of the rows that hold patches; see [`delta_key`].
 pub const DELTA_PREFIX: &str = "config/delta/";
 
-/// Key of the row that holds the patch that made `number`. Keys sort by number.
+/// Returns the key of the row that holds the patch that created `number`. Keys
+/// sort by number.
 pub fn delta_key(number: Number) -> String {
     format!("{DELTA_PREFIX}{:020}", number.0)
 }
 
-/// Name of the object that holds the snapshot at `number`.
+/// Returns the name of the object that holds the snapshot at `number`.
 pub fn snapshot_key(number: Number) -> String {
     format!("config-{:020}", number.0)
 }
@@ -29,55 +30,59 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Head {
-    /// The number in force.
+    /// Number of the configuration in force.
     pub number: Number,
-    /// Newest number with a snapshot in the object store.
+    /// Highest number with a snapshot in the object store.
     pub snapshot: Number,
 }
 
-/// A set of changes that is taken whole or refused whole.
+/// A set of changes that is applied as a whole or refused as a whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Patch {
-    /// Drawn by the operators' tool; tells a repeat of this patch, or a write
-    /// whose answer was lost, from somebody else's patch.
+    /// Drawn at random by the operators' tool. Distinguishes a repeat of this
+    /// patch, or a write whose answer was lost, from another operator's patch.
     pub id: RequestId,
-    /// The number it was made against.
+    /// Number of the configuration that the patch was made against.
     pub against: Number,
-    /// Who made it, for the history.
+    /// Author of the patch, shown in the history.
     pub author: String,
     /// The changes, in order.
     pub changes: Vec<Change>,
 }
 
-/// Why a patch is not taken.
+/// Why a patch is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, Error)]
 #[serde(rename_all = "snake_case")]
 pub enum PatchError {
-    /// It was made against another number than the one in force.
+    /// The patch was made against another number than the one in force.
     #[error("made against {against}, but {current} is in force")]
     Stale {
-        /// The patch's number.
+        /// Number that the patch was made against.
         against: Number,
-        /// The number in force.
+        /// Number in force.
         current: Number,
     },
-    /// A change does not check.
+    /// A change of the patch is refused.
     #[error("change {index}: {refusal}")]
     Refused {
         /// Position of the change, from 0.
         index: usize,
-        /// Why.
+        /// Reason for the refusal.
         refusal: Refusal,
     },
-    /// It moves membership and does something else too.
+    /// The patch combines a membership change with other changes.
     #[error("a patch in which a member joins or leaves holds that one change only")]
     Membership,
 }
 
 impl Config {
-    /// The configuration after `patch`, which is taken whole or not at all.
+    /// Returns the configuration after `patch`.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the patch is refused; none of its changes is then applied.
     pub fn patched(&self, patch: &Patch) -> Result<Config, PatchError> {
         if patch.against != self.number {
             return Err(PatchError::Stale { against: patch.against, current: self.number });
@@ -87,10 +92,11 @@
         for (index, change) in patch.changes.iter().enumerate() {
             next.change(change).map_err(|refusal| PatchError::Refused { index, refusal })?;
         }
-        if next.totals() != self.totals() || next.entries() != self.entries() {
+        if next.totals() != self.totals() || next.entry_incarnations() != self.entry_incarnations()
+        {
             next.shares = next.number;
         }
-        if !self.entries().is_subset(&next.entries()) {
+        if !self.entry_incarnations().is_subset(&next.entry_incarnations()) {
             next.left = next.number;
         }
         Ok(next)
--- a/kingcupbay_core/src/declare/fields.rs
+++ b/kingcupbay_core/src/declare/fields.rs
@@ -1,17 +1,17 @@
-//! The entries of one section, taken by key, with every mistake kept.
+//! Reads the entries of one section by key and collects every mistake.
 
 use std::str::FromStr;
 
 use crate::ini::{Entry, Mistake, Section};
 
-/// What a name may be, as mistakes say it.
-pub(super) const NAME: &str = "1 to 64 of a-z, 0-9, '.', '_', '-'";
+/// Allowed form of a name, as shown in mistakes.
+pub(super) const NAME_FORM: &str = "1 to 64 of a-z, 0-9, '.', '_', '-'";
 
-/// Reader of one section.
+/// Reads the fields of one section.
 pub(super) struct Fields<'a> {
     file: &'a str,
     section: &'a Section,
-    /// Keys that were asked for; every other key is a mistake.
+    /// Keys read so far; any other key in the section is a mistake.
     known: Vec<&'static str>,
     mistakes: &'a mut Vec<Mistake>,
 }
@@ -25,12 +25,13 @@
         Fields { file, section, known: Vec::new(), mistakes }
     }
 
-    /// Whether an entry for `key` stands in the section.
+    /// Whether the section has an entry for `key`.
     pub(super) fn has(&self, key: &str) -> bool {
         self.section.entries.iter().any(|entry| entry.key == key)
     }
 
-    /// The value under `key` if `read` takes it; it must be there.
+    /// Returns the value of `key` as converted by `read`. Reports a mistake if
+    /// the key is missing or `read` returns `None`.
     pub(super) fn required<T>(
         &mut self,
         key: &'static str,
@@ -46,7 +47,8 @@
         self.optional(key, allowed, read)
     }
 
-    /// The value under `key` if it is there and `read` takes it.
+    /// Returns the value of `key`, if present, as converted by `read`. Reports
+    /// a mistake if `read` returns `None`.
     pub(super) fn optional<T>(
         &mut self,
         key: &'static str,
@@ -62,13 +64,13 @@
         value
     }
 
-    /// A required value that is read by its type's own rules.
+    /// Returns a required value, parsed with the [`FromStr`] of its type.
     pub(super) fn parsed<T: FromStr>(&mut self, key: &'static str, allowed: &str) -> Option<T> {
         self.required(key, allowed, |text| text.parse().ok())
     }
 
-    /// A required number above zero.
-    pub(super) fn count<T: FromStr + Default + PartialEq>(
+    /// Returns a required whole number of at least 1.
+    pub(super) fn positive<T: FromStr + Default + PartialEq>(
         &mut self,
         key: &'static str,
     ) -> Option<T> {
@@ -76,12 +78,12 @@
         self.required(key, "a whole number, 1 or more", read)
     }
 
-    /// A required `true` or `false`.
+    /// Returns a required `true` or `false`.
     pub(super) fn flag(&mut self, key: &'static str) -> Option<bool> {
         self.parsed(key, "true or false")
     }
 
-    /// Reports keys that were not asked for and keys that stand twice.
+    /// Reports keys that were never read and keys that occur more than once.
     pub(super) fn finish(mut self) {
         let section = self.section;
         for (index, entry) in section.entries.iter().enumerate() {
--- a/kingcupbay_core/src/declare/model.rs
+++ b/kingcupbay_core/src/declare/model.rs
@@ -1,4 +1,4 @@
-//! Rows of a declaration, by the names that operators gave.
+//! Rows of a declaration, which refer to each other by name.
 
 use std::{collections::BTreeMap, fmt, str::FromStr};
 
@@ -10,61 +10,60 @@
     id::{Name, NameError, OrganisationId},
 };
 
-/// What the files of one reading declare together, or a configuration in the
-/// same form.
+/// The rows declared by a set of files, or a configuration in the same form.
 #[derive(Clone, Debug, Default)]
 pub struct Declaration {
-    /// Organisations.
+    /// Organisations by name.
     pub organisations: BTreeMap<Name, Organisation>,
-    /// Adapters.
+    /// Adapters by name.
     pub adapters: BTreeMap<Name, Adapter>,
-    /// Where the weight store keeps each version.
+    /// Path of each version in the weight store.
     pub versions: BTreeMap<VersionName, String>,
-    /// Upstreams.
+    /// Upstreams by name.
     pub upstreams: BTreeMap<Name, Upstream>,
-    /// Routes.
+    /// Routes by name.
     pub routes: BTreeMap<Name, Route>,
-    /// Keys; when there is none, keys are left as they are.
+    /// Access keys by label. If empty, a plan leaves the keys unchanged.
     pub keys: BTreeMap<Name, Key>,
-    /// Where each section stands, by its title; empty for a configuration.
-    pub places: BTreeMap<String, Place>,
+    /// Source location of each section by title; empty for a configuration.
+    pub locations: BTreeMap<String, Location>,
 }
 
-/// An organisation.
+/// The rate limit of an organisation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Organisation {
-    /// Tokens a second.
+    /// Tokens per second.
     pub rate: u64,
-    /// Tokens at once.
+    /// Most tokens that may be used at once.
     pub burst: u64,
 }
 
 /// An adapter without its versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Adapter {
-    /// Whose adapter it is.
+    /// Organisation that owns the adapter.
     pub organisation: Name,
-    /// Base model.
+    /// Base model that the adapter extends.
     pub base: Name,
-    /// Label of the default version.
+    /// Label of the version used when a request names only the adapter.
     pub default: Option<Name>,
 }
 
-/// `adapter@label`.
+/// Name of a version, written `adapter@label`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct VersionName {
-    /// The adapter.
+    /// Name of the adapter.
     pub adapter: Name,
-    /// The version's label.
+    /// Label of the version.
     pub label: Name,
 }
 
-/// A route.
+/// A route to a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Who may use it.
+    /// Organisation that may use the route.
     pub organisation: Name,
-    /// Service behind it.
+    /// Service that the route leads to.
     pub service: Name,
     /// Whether a call runs at most once.
     pub once: bool,
@@ -73,18 +72,18 @@
 /// An access key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Key {
-    /// Whose key it is.
+    /// Organisation that the key belongs to.
     pub organisation: Name,
-    /// Hash of the secret; the secret is in no file.
+    /// Hash of the secret; the files never contain the secret itself.
     pub hash: KeyHash,
 }
 
-/// Where a section stands.
+/// Source location of a section.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// The file.
+pub struct Location {
+    /// Name of the file.
     pub file: String,
-    /// Line of the section's header, from 1.
+    /// Line of the section header, from 1.
     pub line: u32,
 }
 
@@ -103,14 +102,14 @@
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}", self.file, self.line)
     }
 }
 
 impl Declaration {
-    /// `config` as a declaration.
+    /// Converts `config` into a declaration.
     pub fn of(config: &Config) -> Declaration {
         let mut declared = Declaration::default();
         for (_, row) in config.organisations.iter() {
--- a/kingcupbay_core/src/declare/plan.rs
+++ b/kingcupbay_core/src/declare/plan.rs
@@ -1,14 +1,15 @@
-//! The changes that make a configuration what is declared.
+//! Plans the changes that bring a configuration to the declared state.
 
-use super::model::{Declaration, Place, VersionName};
+use super::model::{Declaration, Location, VersionName};
 use crate::config::{change::Change, model::Config};
 
-/// The changes from `config` to `declared`, in an order that checks: what
-/// uses a row goes before the row, and comes after it.
+/// Returns the changes from `config` to `declared`, ordered so that every
+/// reference stays valid: a row is added before the rows that refer to it and
+/// removed after them.
 ///
-/// A version with another source, and an adapter of another organisation, are
-/// planned as they are declared and then refused by the check: engines know a
-/// version by its name, so the name must not come to mean other weights.
+/// A version whose source differs and an adapter whose organisation differs
+/// are planned as declared; [`Config::patched`] then refuses them. Engines
+/// identify a version by its name, so a name must never refer to other weights.
 pub fn plan(config: &Config, declared: &Declaration) -> Vec<Change> {
     let current = Declaration::of(config);
     let steps = [
@@ -17,9 +18,9 @@
         remove_upstreams,
         remove_adapters,
         set_organisations,
-        make_adapters,
+        add_adapters,
         add_versions,
-        change_adapters,
+        update_adapters,
         remove_versions,
         set_upstreams,
         set_routes,
@@ -30,8 +31,9 @@
 }
 
 impl Declaration {
-    /// Where the row that `change` is about is declared.
-    pub fn place(&self, change: &Change) -> Option<&Place> {
+    /// Returns the source location of the row that `change` sets, if the row
+    /// is declared in a file.
+    pub fn location(&self, change: &Change) -> Option<&Location> {
         let title = match change {
             Change::SetOrganisation { name, .. } => format!("organisation {name}"),
             Change::SetAdapter { name, .. } => format!("adapter {name}"),
@@ -41,7 +43,7 @@
             Change::IssueKey { label, .. } => format!("key {label}"),
             _ => return None,
         };
-        self.places.get(&title)
+        self.locations.get(&title)
     }
 }
 
@@ -49,34 +51,34 @@
     if new.keys.is_empty() {
         return Vec::new();
     }
-    let gone = old.keys.iter().filter(|(label, key)| new.keys.get(label) != Some(key));
-    gone.map(|(label, _)| Change::WithdrawKey { label: label.clone() }).collect()
+    let removed = old.keys.iter().filter(|(label, key)| new.keys.get(label) != Some(key));
+    removed.map(|(label, _)| Change::WithdrawKey { label: label.clone() }).collect()
 }
 
 fn remove_routes(old: &Declaration, new: &Declaration) -> Vec<Change> {
-    let gone = old.routes.keys().filter(|name| !new.routes.contains_key(name));
-    gone.map(|name| Change::RemoveRoute { name: name.clone() }).collect()
+    let removed = old.routes.keys().filter(|name| !new.routes.contains_key(name));
+    removed.map(|name| Change::RemoveRoute { name: name.clone() }).collect()
 }
 
 fn remove_upstreams(old: &Declaration, new: &Declaration) -> Vec<Change> {
-    let gone = old.upstreams.keys().filter(|name| !new.upstreams.contains_key(name));
-    gone.map(|name| Change::RemoveUpstream { name: name.clone() }).collect()
+    let removed = old.upstreams.keys().filter(|name| !new.upstreams.contains_key(name));
+    removed.map(|name| Change::RemoveUpstream { name: name.clone() }).collect()
 }
 
 fn remove_adapters(old: &Declaration, new: &Declaration) -> Vec<Change> {
-    let gone = old.adapters.keys().filter(|name| !new.adapters.contains_key(name));
-    gone.map(|name| Change::RemoveAdapter { name: name.clone() }).collect()
+    let removed = old.adapters.keys().filter(|name| !new.adapters.contains_key(name));
+    removed.map(|name| Change::RemoveAdapter { name: name.clone() }).collect()
 }
 
 fn remove_organisations(old: &Declaration, new: &Declaration) -> Vec<Change> {
-    let gone = old.organisations.keys().filter(|name| !new.organisations.contains_key(name));
-    gone.map(|name| Change::RemoveOrganisation { name: name.clone() }).collect()
+    let removed = old.organisations.keys().filter(|name| !new.organisations.contains_key(name));
+    removed.map(|name| Change::RemoveOrganisation { name: name.clone() }).collect()
 }
 
 fn set_organisations(old: &Declaration, new: &Declaration) -> Vec<Change> {
-    let other =
+    let changed =
         new.organisations.iter().filter(|(name, row)| old.organisations.get(name) != Some(row));
-    other
+    changed
         .map(|(name, row)| Change::SetOrganisation {
             name: name.clone(),
             rate: row.rate,
@@ -85,21 +87,24 @@
         .collect()
 }
 
-/// New adapters begin without a default: it names a version to come.
-fn make_adapters(old: &Declaration, new: &Declaration) -> Vec<Change> {
-    let made = new.adapters.iter().filter(|(name, _)| !old.adapters.contains_key(name));
-    made.map(|(name, row)| Change::SetAdapter {
-        name: name.clone(),
-        organisation: row.organisation.clone(),
-        base: row.base.clone(),
-        default: None,
-    })
-    .collect()
+/// Adds new adapters without a default, because their versions do not exist
+/// yet.
+fn add_adapters(old: &Declaration, new: &Declaration) -> Vec<Change> {
+    let added = new.adapters.iter().filter(|(name, _)| !old.adapters.contains_key(name));
+    added
+        .map(|(name, row)| Change::SetAdapter {
+            name: name.clone(),
+            organisation: row.organisation.clone(),
+            base: row.base.clone(),
+            default: None,
+        })
+        .collect()
 }
 
 fn add_versions(old: &Declaration, new: &Declaration) -> Vec<Change> {
-    let other = new.versions.iter().filter(|(name, source)| old.versions.get(name) != Some(source));
-    other
+    let changed =
+        new.versions.iter().filter(|(name, source)| old.versions.get(name) != Some(source));
+    changed
         .map(|(name, source)| Change::SetVersion {
             adapter: name.adapter.clone(),
             label: name.label.clone(),
@@ -108,13 +113,14 @@
         .collect()
 }
 
-/// After the new versions exist, and before the old ones go.
-fn change_adapters(old: &Declaration, new: &Declaration) -> Vec<Change> {
-    let other = new.adapters.iter().filter(|(name, row)| match old.adapters.get(name) {
+/// Updates adapters and their defaults. Runs after new versions are added and
+/// before old ones are removed.
+fn update_adapters(old: &Declaration, new: &Declaration) -> Vec<Change> {
+    let changed = new.adapters.iter().filter(|(name, row)| match old.adapters.get(name) {
         Some(old) => old != *row,
         None => row.default.is_some(),
     });
-    other
+    changed
         .map(|(name, row)| Change::SetAdapter {
             name: name.clone(),
             organisation: row.organisation.clone(),
@@ -124,26 +130,27 @@
         .collect()
 }
 
-/// Versions of a removed adapter have gone with it.
+/// Removes versions of adapters that stay; removing an adapter also removes
+/// its versions.
 fn remove_versions(old: &Declaration, new: &Declaration) -> Vec<Change> {
-    let gone = |name: &&VersionName| {
+    let removed = |name: &&VersionName| {
         new.adapters.contains_key(&name.adapter) && !new.versions.contains_key(name)
     };
     let remove = |name: &VersionName| Change::RemoveVersion {
         adapter: name.adapter.clone(),
         label: name.label.clone(),
     };
-    old.versions.keys().filter(gone).map(remove).collect()
+    old.versions.keys().filter(removed).map(remove).collect()
 }
 
 fn set_upstreams(old: &Declaration, new: &Declaration) -> Vec<Change> {
-    let other = new.upstreams.iter().filter(|(name, row)| old.upstreams.get(name) != Some(row));
-    other.map(|(_, row)| Change::SetUpstream { upstream: row.clone() }).collect()
+    let changed = new.upstreams.iter().filter(|(name, row)| old.upstreams.get(name) != Some(row));
+    changed.map(|(_, row)| Change::SetUpstream { upstream: row.clone() }).collect()
 }
 
 fn set_routes(old: &Declaration, new: &Declaration) -> Vec<Change> {
-    let other = new.routes.iter().filter(|(name, row)| old.routes.get(name) != Some(row));
-    other
+    let changed = new.routes.iter().filter(|(name, row)| old.routes.get(name) != Some(row));
+    changed
         .map(|(name, row)| Change::SetRoute {
             name: name.clone(),
             organisation: row.organisation.clone(),
@@ -154,8 +161,8 @@
 }
 
 fn issue_keys(old: &Declaration, new: &Declaration) -> Vec<Change> {
-    let other = new.keys.iter().filter(|(label, key)| old.keys.get(label) != Some(key));
-    other
+    let changed = new.keys.iter().filter(|(label, key)| old.keys.get(label) != Some(key));
+    changed
         .map(|(label, key)| Change::IssueKey {
             label: label.clone(),
             organisation: key.organisation.clone(),
--- a/kingcupbay_core/src/declare/read.rs
+++ b/kingcupbay_core/src/declare/read.rs
@@ -1,10 +1,10 @@
-//! Reads declarations: several files together, every mistake at once.
+//! Reads a declaration from several files and reports every mistake at once.
 
 use std::net::SocketAddr;
 
 use super::{
-    fields::{Fields, NAME},
-    model::{Adapter, Declaration, Key, Organisation, Place, Route, VersionName},
+    fields::{Fields, NAME_FORM},
+    model::{Adapter, Declaration, Key, Location, Organisation, Route, VersionName},
 };
 use crate::{
     config::model::{KeyHash, Serves, Upstream},
@@ -12,21 +12,24 @@
     ini::{self, Mistake, Section},
 };
 
-/// Titles that sections may have.
+/// Allowed section titles, as shown in mistakes.
 const TITLES: &str = "[organisation NAME], [adapter NAME], [version ADAPTER@LABEL], \
                       [upstream NAME], [route NAME], [key LABEL]";
 
-/// A file's name and its text.
+/// Name and text of a declaration file.
 #[derive(Clone, Copy, Debug)]
 pub struct File<'a> {
-    /// The name, as mistakes show it.
+    /// File name, as shown in mistakes.
     pub name: &'a str,
-    /// The text.
+    /// Content of the file.
     pub text: &'a str,
 }
 
-/// Reads `files` as one declaration, or reports every mistake in them, in the
-/// order of files and lines.
+/// Reads `files` as one declaration.
+///
+/// # Errors
+///
+/// Returns every mistake in the files, ordered by file and line.
 pub fn read(files: &[File<'_>]) -> Result<Declaration, Vec<Mistake>> {
     let mut reader = Reader::default();
     for file in files {
@@ -38,11 +41,11 @@
     reader.finish()
 }
 
-/// A value that names another section.
+/// A reference to another section.
 struct Reference {
-    /// Title of the section that must exist.
+    /// Title of the required section.
     title: String,
-    /// What to report when it does not.
+    /// Mistake to report if that section does not exist.
     mistake: Mistake,
 }
 
@@ -63,12 +66,12 @@
             return self.mistake(file, section, TITLES.to_owned());
         };
         let title = format!("{kind} {name}");
-        if let Some(first) = self.declared.places.get(&title) {
+        if let Some(first) = self.declared.locations.get(&title) {
             let allowed = format!("each row once; it stands at {first} already");
             return self.mistake(file, section, allowed);
         }
-        let place = Place { file: file.to_owned(), line: section.line };
-        self.declared.places.insert(title, place);
+        let location = Location { file: file.to_owned(), line: section.line };
+        self.declared.locations.insert(title, location);
         match (kind, name.parse::<Name>(), name.parse::<VersionName>()) {
             ("organisation", Ok(name), _) => self.organisation(file, section, name),
             ("adapter", Ok(name), _) => self.adapter(file, section, name),
@@ -77,10 +80,10 @@
             ("route", Ok(name), _) => self.route(file, section, name),
             ("key", Ok(label), _) => self.key(file, section, label),
             ("organisation" | "adapter" | "upstream" | "route" | "key", Err(_), _) => {
-                self.mistake(file, section, format!("a name of {NAME}"));
+                self.mistake(file, section, format!("a name of {NAME_FORM}"));
             }
             ("version", ..) => {
-                self.mistake(file, section, format!("ADAPTER@LABEL, each a name of {NAME}"));
+                self.mistake(file, section, format!("ADAPTER@LABEL, each a name of {NAME_FORM}"));
             }
             _ => self.mistake(file, section, TITLES.to_owned()),
         }
@@ -88,8 +91,8 @@
 
     fn organisation(&mut self, file: &str, section: &Section, name: Name) {
         let mut fields = Fields::new(file, section, &mut self.mistakes);
-        let rate = fields.count("rate");
-        let burst = fields.count("burst");
+        let rate = fields.positive("rate");
+        let burst = fields.positive("burst");
         fields.finish();
         if let (Some(rate), Some(burst)) = (rate, burst) {
             self.declared.organisations.insert(name, Organisation { rate, burst });
@@ -98,15 +101,20 @@
 
     fn adapter(&mut self, file: &str, section: &Section, name: Name) {
         let mut fields = Fields::new(file, section, &mut self.mistakes);
-        let organisation = fields.parsed::<Name>("organisation", NAME);
-        let base = fields.parsed("base", NAME);
-        let default = fields.optional("default", NAME, |text| text.parse::<Name>().ok());
+        let organisation = fields.parsed::<Name>("organisation", NAME_FORM);
+        let base = fields.parsed("base", NAME_FORM);
+        let default = fields.optional("default", NAME_FORM, |text| text.parse::<Name>().ok());
         fields.finish();
         if let Some(organisation) = &organisation {
-            self.refer(file, section, "organisation", format!("organisation {organisation}"));
+            self.add_reference(
+                file,
+                section,
+                "organisation",
+                format!("organisation {organisation}"),
+            );
         }
         if let Some(default) = &default {
-            self.refer(file, section, "default", format!("version {name}@{default}"));
+            self.add_reference(file, section, "default", format!("version {name}@{default}"));
         }
         if let (Some(organisation), Some(base)) = (organisation, base) {
             self.declared.adapters.insert(name, Adapter { organisation, base, default });
@@ -118,7 +126,7 @@
         let allowed = "a path of the weight store, or a JSON string of one";
         let source = fields.required("source", allowed, unquote);
         fields.finish();
-        self.refer(file, section, "", format!("adapter {}", name.adapter));
+        self.add_reference(file, section, "", format!("adapter {}", name.adapter));
         if let Some(source) = source {
             self.declared.versions.insert(name, source);
         }
@@ -126,13 +134,13 @@
 
     fn upstream(&mut self, file: &str, section: &Section, name: Name) {
         let mut fields = Fields::new(file, section, &mut self.mistakes);
-        let host = fields.parsed("host", NAME);
+        let host = fields.parsed("host", NAME_FORM);
         let address = fields.required("address", "IP:PORT", |text| {
             text.parse::<SocketAddr>().is_ok().then(|| text.to_owned())
         });
-        let zone = fields.parsed("zone", NAME);
+        let zone = fields.parsed("zone", NAME_FORM);
         let leaving = fields.optional("leaving", "true or false", |text| text.parse().ok());
-        let serves = serves(&mut fields);
+        let serves = read_serves(&mut fields);
         fields.finish();
         if let (Some(host), Some(address), Some(zone), Some(serves)) = (host, address, zone, serves)
         {
@@ -144,12 +152,17 @@
 
     fn route(&mut self, file: &str, section: &Section, name: Name) {
         let mut fields = Fields::new(file, section, &mut self.mistakes);
-        let organisation = fields.parsed::<Name>("organisation", NAME);
-        let service = fields.parsed("service", NAME);
+        let organisation = fields.parsed::<Name>("organisation", NAME_FORM);
+        let service = fields.parsed("service", NAME_FORM);
         let once = fields.flag("once");
         fields.finish();
         if let Some(organisation) = &organisation {
-            self.refer(file, section, "organisation", format!("organisation {organisation}"));
+            self.add_reference(
+                file,
+                section,
+                "organisation",
+                format!("organisation {organisation}"),
+            );
         }
         if let (Some(organisation), Some(service), Some(once)) = (organisation, service, once) {
             self.declared.routes.insert(name, Route { organisation, service, once });
@@ -158,23 +171,28 @@
 
     fn key(&mut self, file: &str, section: &Section, label: Name) {
         let mut fields = Fields::new(file, section, &mut self.mistakes);
-        let organisation = fields.parsed::<Name>("organisation", NAME);
+        let organisation = fields.parsed::<Name>("organisation", NAME_FORM);
         let hash = fields.required("hash", "SHA-256 of the key: 64 hex digits", |text| {
             let mut hash = [0; 32];
             hex::decode_to_slice(text, &mut hash).ok().map(|()| KeyHash(hash))
         });
         fields.finish();
         if let Some(organisation) = &organisation {
-            self.refer(file, section, "organisation", format!("organisation {organisation}"));
+            self.add_reference(
+                file,
+                section,
+                "organisation",
+                format!("organisation {organisation}"),
+            );
         }
         if let (Some(organisation), Some(hash)) = (organisation, hash) {
             self.declared.keys.insert(label, Key { organisation, hash });
         }
     }
 
-    /// Notes that the value under `key`, or the title itself when `key` is
-    /// empty, needs the section `title` in one of the files.
-    fn refer(&mut self, file: &str, section: &Section, key: &str, title: String) {
+    /// Records that the value of `key`, or the section's own title if `key` is
+    /// empty, requires a section `title` in one of the files.
+    fn add_reference(&mut self, file: &str, section: &Section, key: &str, title: String) {
         let entry = section.entries.iter().find(|entry| entry.key == key);
         let mistake = Mistake {
             file: file.to_owned(),
@@ -200,7 +218,7 @@
 
     fn finish(mut self) -> Result<Declaration, Vec<Mistake>> {
         for reference in self.references {
-            if !self.declared.places.contains_key(&reference.title) {
+            if !self.declared.locations.contains_key(&reference.title) {
                 self.mistakes.push(reference.mistake);
             }
         }
@@ -212,21 +230,22 @@
     }
 }
 
-/// A plain service, or adapters of a base model; the keys of the other one
-/// are then unknown.
-fn serves(fields: &mut Fields<'_>) -> Option<Serves> {
+/// Reads what an upstream serves: a plain service if the section has the key
+/// `service`, otherwise adapters of a base model. Keys of the other kind are
+/// then reported as unknown.
+fn read_serves(fields: &mut Fields<'_>) -> Option<Serves> {
     if fields.has("service") {
-        let service = fields.parsed("service", NAME)?;
+        let service = fields.parsed("service", NAME_FORM)?;
         return Some(Serves::Service { service });
     }
-    let base = fields.parsed("base", NAME);
-    let slots = fields.count("slots");
+    let base = fields.parsed("base", NAME_FORM);
+    let slots = fields.positive("slots");
     let fenced = fields.flag("fenced");
     Some(Serves::Model { base: base?, slots: slots?, fenced: fenced? })
 }
 
-/// A source as it stands, or the JSON string that [`text`](super::text) writes
-/// for one that a line cannot hold.
+/// Returns a source given as plain text or as a JSON string; the latter is how
+/// [`text`](super::text) writes a source that does not fit an INI line.
 fn unquote(text: &str) -> Option<String> {
     match text.starts_with('"') {
         true => serde_json::from_str(text).ok(),
--- a/kingcupbay_core/src/declare/text.rs
+++ b/kingcupbay_core/src/declare/text.rs
@@ -1,21 +1,21 @@
-//! Declarations as text, and what differs between two of them.
+//! Formats declarations as text and shows the differences between two.
 
 use std::{collections::BTreeMap, fmt::Write as _};
 
 use super::model::Declaration;
 use crate::config::model::{Serves, Upstream};
 
-/// A section: its title and its `key = value` lines.
+/// A section of a declaration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Section {
     /// Text between the brackets.
     pub title: String,
-    /// The lines below.
+    /// The `key = value` lines.
     pub lines: Vec<String>,
 }
 
-/// Every row of `declared` as a section: organisations, adapters, versions,
-/// upstreams, routes, keys, each by name.
+/// Converts every row of `declared` into a section. The order is organisations,
+/// adapters, versions, upstreams, routes, keys, each sorted by name.
 pub fn sections(declared: &Declaration) -> Vec<Section> {
     let mut sections = Vec::new();
     let mut add = |title: String, lines: Vec<String>| sections.push(Section { title, lines });
@@ -33,7 +33,7 @@
         add(format!("version {name}"), vec![format!("source = {}", quote(source))]);
     }
     for (name, row) in &declared.upstreams {
-        add(format!("upstream {name}"), upstream(row));
+        add(format!("upstream {name}"), upstream_lines(row));
     }
     for (name, row) in &declared.routes {
         let lines = vec![
@@ -53,7 +53,7 @@
     sections
 }
 
-/// `declared` as the text of one file.
+/// Formats `declared` as the text of one file.
 pub fn write(declared: &Declaration) -> String {
     let mut text = String::new();
     for section in sections(declared) {
@@ -68,12 +68,12 @@
     text
 }
 
-/// What leads from `old` to `new`: the title of each section that differs,
-/// then its lines that go with `-` and those that come with `+`.
+/// Formats the differences from `old` to `new`: the title of each section that
+/// differs, then removed lines with `-` and added lines with `+`.
 pub fn diff(old: &Declaration, new: &Declaration) -> String {
     let (mut old, new) = (sections(old), sections(new));
     if !new.iter().any(|section| section.title.starts_with("key ")) {
-        // The files do not own the keys, so none goes.
+        // The files declare no key, so the existing keys are kept.
         old.retain(|section| !section.title.starts_with("key "));
     }
     let mut merged: BTreeMap<&str, (&[String], &[String])> = BTreeMap::new();
@@ -101,7 +101,7 @@
     text
 }
 
-fn upstream(row: &Upstream) -> Vec<String> {
+fn upstream_lines(row: &Upstream) -> Vec<String> {
     let mut lines = vec![
         format!("host = {}", row.host),
         format!("address = {}", row.address),
@@ -119,8 +119,8 @@
     lines
 }
 
-/// A source as it stands, or as a JSON string when a line would not give it
-/// back: INI values are trimmed and end with their line.
+/// Returns a source as plain text, or as a JSON string if an INI line would not
+/// preserve it: INI values are trimmed and end with their line.
 fn quote(source: &str) -> String {
     let trimmed = source.trim_matches(|c: char| c.is_ascii_whitespace());
     let plain = trimmed == source && !source.starts_with('"') && !source.contains(char::is_control);
--- a/kingcupbay_core/src/gossip/mod.rs
+++ b/kingcupbay_core/src/gossip/mod.rs
@@ -378,7 +378,7 @@
         let answering: Vec<_> =
             others.iter().copied().filter(|id| self.standing.answers(*id, now)).collect();
         let any = answering.is_empty() || self.random.below(ANY) == 0;
-        self.random.pick(if any { others } else { answering }, count)
+        self.random.sample(if any { others } else { answering }, count)
     }
 
     fn due(&self, last: Option<Instant>, period: Span, now: Instant) -> bool {
--- a/kingcupbay_core/src/id.rs
+++ b/kingcupbay_core/src/id.rs
@@ -1,4 +1,4 @@
-//! Names that operators give, and the small keys that stand for them inside.
+//! Names given by operators, and the keys that identify rows internally.
 
 use std::{fmt, str::FromStr};
 
@@ -6,8 +6,8 @@
 use serde_with::{DeserializeFromStr, SerializeDisplay};
 use thiserror::Error;
 
-/// Longest name in bytes; names travel in headers and log lines.
-pub const NAME_MAX: usize = 64;
+/// Longest name in bytes; names are sent in headers and written to log lines.
+pub const NAME_MAX_BYTES: usize = 64;
 
 /// A name given by an operator: 1 to 64 of `a-z`, `0-9`, `.`, `_` and `-`.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -19,7 +19,7 @@
 #[derive(Error)]
 pub enum NameError {
     /// The length is out of bounds.
-    #[error("a name has 1 to {NAME_MAX} bytes, this one has {0}")]
+    #[error("a name has 1 to {NAME_MAX_BYTES} bytes, this one has {0}")]
     Length(usize),
     /// A character is not allowed.
     #[error("a name holds only a-z, 0-9, '.', '_' and '-', this one holds {0:?}")]
@@ -27,7 +27,7 @@
 }
 
 impl Name {
-    /// The name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -37,7 +37,7 @@
     type Err = NameError;
 
     fn from_str(text: &str) -> Result<Name, NameError> {
-        if text.is_empty() || text.len() > NAME_MAX {
+        if text.is_empty() || text.len() > NAME_MAX_BYTES {
             return Err(NameError::Length(text.len()));
         }
         let allowed =
@@ -63,9 +63,9 @@
 
 /// A small `Copy` key into an [`Arena`](crate::arena::Arena).
 pub trait Id: Copy + Ord {
-    /// The key with number `raw`.
+    /// Creates the key with number `raw`.
     fn from_raw(raw: u32) -> Self;
-    /// The number of this key.
+    /// Returns the number of this key.
     fn raw(self) -> u32;
 }
 
@@ -112,14 +112,14 @@
     MemberId,
 }
 
-/// The number of a configuration. It only grows.
+/// Configuration number. It only increases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Number(pub u64);
 
 impl Number {
-    /// The number that follows.
+    /// Returns the following number.
     pub const fn next(self) -> Number {
         Number(self.0 + 1)
     }
@@ -131,7 +131,8 @@
     }
 }
 
-/// Identity of one request on every hop; random, so that two never meet.
+/// Identifier of one request on every hop; 128 random bits, so that no two
+/// requests share one.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(SerializeDisplay, DeserializeFromStr)]
 pub struct RequestId(pub [u8; 16]);
--- a/kingcupbay_core/src/ini.rs
+++ b/kingcupbay_core/src/ini.rs
@@ -1,60 +1,64 @@
-//! INI text as sections and entries that know their line.
+//! Parses INI text into sections and entries with their line numbers.
 
 use ini_core::{Item, Parser};
 use thiserror::Error;
 
-/// One `[section]`.
+/// A `[section]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Section {
     /// Text between the brackets; empty before the first section.
     pub name: String,
-    /// Line of its header, from 1.
+    /// Line of the section header, from 1.
     pub line: u32,
-    /// Its entries, in order.
+    /// Entries of the section, in file order.
     pub entries: Vec<Entry>,
 }
 
-/// One `key = value`.
+/// A `key = value` line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The key.
+    /// Text before the `=`.
     pub key: String,
-    /// The value, trimmed.
+    /// Text after the `=`, trimmed.
     pub value: String,
-    /// Its line, from 1.
+    /// Line of the entry, from 1.
     pub line: u32,
 }
 
-/// A mistake in a file, complete for the person who wrote it.
+/// A mistake in a file, with all that its author needs to correct it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Error)]
 #[error("{file}:{line}: [{section}] {key}: found {found:?}, allowed: {allowed}")]
 pub struct Mistake {
-    /// The file.
+    /// Name of the file.
     pub file: String,
-    /// Its line, from 1.
+    /// Line of the mistake, from 1.
     pub line: u32,
-    /// The section.
+    /// Title of the section.
     pub section: String,
-    /// The key, empty when the section as a whole is meant.
+    /// Key of the entry; empty if the mistake concerns the whole section.
     pub key: String,
-    /// What stands there.
+    /// Text that was found.
     pub found: String,
-    /// What may stand there.
+    /// Description of what is allowed.
     pub allowed: String,
 }
 
-/// Reads `text`; every line that is neither section, entry, comment nor blank
-/// is a mistake, and all are reported at once.
+/// Parses `text`, the content of `file`.
+///
+/// # Errors
+///
+/// Returns a mistake for every line that is not a section, an entry, a comment
+/// or blank.
 pub fn parse(file: &str, text: &str) -> Result<Vec<Section>, Vec<Mistake>> {
     let mut sections = vec![Section { name: String::new(), line: 1, entries: Vec::new() }];
     let mut mistakes = Vec::new();
     let mut parser = Parser::new(text).comment_char(b'#').auto_trim(true);
     loop {
-        // The parser counts the lines it has finished, so this is the next one.
+        // The parser counts completed lines; the next item is on the line after.
         let line = parser.line() + 1;
         let Some(item) = parser.next() else { break };
-        let current = sections.last_mut().expect("never empty");
+        let current = sections.last_mut().expect("the list of sections is never empty");
         match item {
             Item::Section(name) => {
                 sections.push(Section { name: name.to_owned(), line, entries: Vec::new() });
--- a/kingcupbay_core/src/lib.rs
+++ b/kingcupbay_core/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions of kingcupbay as plain structs and functions.
+//! Decision logic of kingcupbay as plain structs and functions.
 //!
-//! Nothing here reads a clock, opens a socket, starts a thread or draws a
-//! random number: time comes in as [`time::Instant`], randomness as a seed.
-//! The daemon's shells turn sockets, timers and answers of the platform into
-//! calls, and carry out what the calls return.
+//! Nothing here reads a clock, opens a socket, starts a thread or uses a source
+//! of randomness: callers pass time as [`time::Instant`] and randomness as a
+//! seed. The daemon turns socket events, timers and answers of the platform into
+//! calls and carries out the actions that the calls return.
 
 pub mod admission;
 pub mod allowance;
--- a/kingcupbay_core/src/share/plan.rs
+++ b/kingcupbay_core/src/share/plan.rs
@@ -39,7 +39,7 @@
 impl Plan {
     /// Returns the plan that `config` contains.
     pub fn from_config(config: &Config) -> Plan {
-        let holders = config.entries().into_iter().map(Holder).collect();
+        let holders = config.entry_incarnations().into_iter().map(Holder).collect();
         Plan { epoch: config.shares, holders, last_removal: config.left, totals: config.totals() }
     }
 }
--- a/kingcupbay_core/src/time.rs
+++ b/kingcupbay_core/src/time.rs
@@ -1,13 +1,14 @@
-//! Points in time and spans, in microseconds of one host's monotonic clock.
+//! Points in time and time spans, in microseconds of a host's monotonic clock.
 
 use std::ops::{Add, Sub};
 
 use serde::{Deserialize, Serialize};
 
-/// A point on the local clock, which counts suspended time too.
+/// A point in time on the local monotonic clock, which includes time in
+/// suspend.
 ///
-/// Invariant: two values are compared only when the same host read them; no
-/// message carries one, messages carry a [`Span`].
+/// Invariant: only values read on the same host are compared. Messages never
+/// contain an instant; they contain a [`Span`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
@@ -20,77 +21,78 @@
 pub struct Span(u64);
 
 impl Instant {
-    /// The point `micros` microseconds after the clock's origin.
+    /// Creates an instant `micros` microseconds after the clock's origin.
     pub const fn from_micros(micros: u64) -> Instant {
         Instant(micros)
     }
 
-    /// Microseconds since the clock's origin.
+    /// Returns the microseconds since the clock's origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The time since `earlier`, zero when `earlier` lies ahead.
+    /// Returns the time since `earlier`, or zero if `earlier` is later.
     pub const fn since(self, earlier: Instant) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// A span of length zero.
     pub const ZERO: Span = Span(0);
 
-    /// A span of `micros` microseconds.
+    /// Creates a span of `micros` microseconds.
     pub const fn from_micros(micros: u64) -> Span {
         Span(micros)
     }
 
-    /// A span of `millis` milliseconds.
+    /// Creates a span of `millis` milliseconds.
     pub const fn from_millis(millis: u64) -> Span {
         Span(millis * 1_000)
     }
 
-    /// A span of `millis` milliseconds and parts of one, at least none.
+    /// Creates a span of `millis` milliseconds, rounded down to microseconds.
+    /// A negative value gives zero.
     pub fn from_millis_f64(millis: f64) -> Span {
         Span((millis * 1e3) as u64)
     }
 
-    /// A span of `secs` seconds.
+    /// Creates a span of `secs` seconds.
     pub const fn from_secs(secs: u64) -> Span {
         Span(secs * 1_000_000)
     }
 
-    /// The span in whole microseconds.
+    /// Returns the span in whole microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The span in whole milliseconds, rounded down.
+    /// Returns the span in whole milliseconds, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// The span in milliseconds and parts of one.
+    /// Returns the span in milliseconds with fractions.
     pub fn as_millis_f64(self) -> f64 {
         self.0 as f64 / 1e3
     }
 
-    /// The span in seconds.
+    /// Returns the span in seconds with fractions.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// The span in whole seconds, rounded up: the unit of `Retry-After`.
+    /// Returns the span in whole seconds, rounded up, as used in `Retry-After`.
     pub const fn as_secs_ceil(self) -> u64 {
         self.0.div_ceil(1_000_000)
     }
 
-    /// How far this span and `other` are apart.
+    /// Returns the absolute difference between this span and `other`.
     pub const fn abs_diff(self, other: Span) -> Span {
         Span(self.0.abs_diff(other.0))
     }
 
-    /// This span less `other`, zero when `other` is longer.
+    /// Returns this span minus `other`, or zero if `other` is longer.
     pub const fn saturating_sub(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
     }
--- a/kingcupbay_core/tests/declare.rs
+++ b/kingcupbay_core/tests/declare.rs
@@ -210,8 +210,8 @@
     let config = applied(&Config::default(), WHOLE);
     let edited = declared(&WHOLE.replace("weights/tasting/1", "weights/tasting/other"));
     let changes = plan(&config, &edited);
-    let place = edited.place(&changes[0]).unwrap().to_string();
-    assert_eq!(place, "x.ini:10");
+    let location = edited.location(&changes[0]).unwrap().to_string();
+    assert_eq!(location, "x.ini:10");
     let refused = patched(&config, changes).unwrap_err();
     assert!(matches!(refused, PatchError::Refused { index: 0, refusal: Refusal::Value { .. } }));
 }
--- a/kingcupbayd/src/entry/answer.rs
+++ b/kingcupbayd/src/entry/answer.rs
@@ -87,7 +87,7 @@
         let message = format!("no model {} for this access key", ask.model);
         Failure::not_run(Code::NotFound, message)
     })?;
-    let model = config.model(version).expect("a resolved version exists");
+    let model = config.model_name(version).expect("a resolved version exists");
     let max_tokens = ask.max_tokens.unwrap_or(callers.max_tokens);
     let prompt_tokens = ask.prompt.tokens();
     let tokens = prompt_tokens + u64::from(max_tokens);
--- a/kingcupbayd/src/entry/models.rs
+++ b/kingcupbayd/src/entry/models.rs
@@ -29,7 +29,7 @@
     let own = config.adapters.iter().filter(|(_, row)| row.organisation == caller.organisation);
     let versions = own.flat_map(|(_, row)| row.versions.values());
     let data = versions
-        .filter_map(|&version| config.model(version))
+        .filter_map(|&version| config.model_name(version))
         .map(|id| Model { id, object: "model", owned_by: caller.name.clone() })
         .collect();
     reply::json(StatusCode::OK, &List { object: "list", data })
--- a/kingcupbayd/src/share/epoch.rs
+++ b/kingcupbayd/src/share/epoch.rs
@@ -80,7 +80,7 @@
     /// Removes the rows of entries that are gone. One that is not known here
     /// because it has just joined reported to a later epoch.
     async fn clear(&self, rows: &[Row]) -> Result<(), TableError> {
-        let entries = self.fleet.config().entries();
+        let entries = self.fleet.config().entry_incarnations();
         let epoch = self.core.borrow().epoch();
         let gone = |row: &&Row| {
             let report: Report = decode(row);
--- a/kingcupbayd/src/upstream/run.rs
+++ b/kingcupbayd/src/upstream/run.rs
@@ -306,7 +306,7 @@
 fn name_of(upstream: &Upstream, run: &Run) -> String {
     let config = upstream.fleet.config();
     let name = match &run.work {
-        Work::Generate { version, .. } => config.model(*version),
+        Work::Generate { version, .. } => config.model_name(*version),
         Work::Call { route, .. } => config.routes.get(*route).map(|row| row.name.to_string()),
     };
     name.unwrap_or_else(|| "removed".to_owned())
@@ -332,7 +332,7 @@
     if adapter.is_none_or(|adapter| adapter.organisation != run.organisation) {
         return Err(Failure::not_run(Code::NotFound, "the version does not exist any more"));
     }
-    let model = config.model(version).expect("a known version has an adapter");
+    let model = config.model_name(version).expect("a known version has an adapter");
     let now = clock::now();
     let entry = Entry {
         request: run.request,
--- a/kingcupbayd/src/upstream/runner/mod.rs
+++ b/kingcupbayd/src/upstream/runner/mod.rs
@@ -313,7 +313,7 @@
         let config = self.upstream.fleet.config();
         for slot in slots {
             let Some(version) = slot.version else { continue };
-            let model = config.model(version).unwrap_or_else(|| "removed".to_owned());
+            let model = config.model_name(version).unwrap_or_else(|| "removed".to_owned());
             let state = format!("{:?}", slot.state).to_lowercase();
             let _ = writeln!(out, "upstream={name} slot={state} model={model} pins={}", slot.pins);
         }
--- a/kingcupbayd/src/upstream/runner/orders.rs
+++ b/kingcupbayd/src/upstream/runner/orders.rs
@@ -54,7 +54,7 @@
 
 async fn load(runner: &Runner, version: VersionId, fencing: u64) -> Outcome {
     let config = runner.upstream.fleet.config();
-    let (Some(row), Some(name)) = (config.versions.get(version), config.model(version)) else {
+    let (Some(row), Some(name)) = (config.versions.get(version), config.model_name(version)) else {
         return Outcome::Failed;
     };
     let order = LoadAdapter { lora_name: name, lora_path: row.source.clone(), fencing };
@@ -73,7 +73,7 @@
     let config = runner.upstream.fleet.config();
     // A version that left the configuration has no name here any more; the
     // engine's report shows it, and it is unloaded by the name there.
-    let Some(name) = config.model(version) else { return Outcome::Unknown };
+    let Some(name) = config.model_name(version) else { return Outcome::Unknown };
     let order = UnloadAdapter { lora_name: name, fencing };
     let sent = engine::unload(&runner.upstream.clients, &runner.row.address, &order);
     let outcome = outcome(bounded(runner, ORDER_TIME, sent).await, false);
@@ -87,7 +87,7 @@
     let sent = engine::report(&runner.upstream.clients, &runner.row.address);
     let Ok(report) = bounded(runner, ORDER_TIME, sent).await else { return Vec::new() };
     let config = runner.upstream.fleet.config();
-    let known = |name: &String| config.version_of(name);
+    let known = |name: &String| config.version_by_model(name);
     let loaded = report.loaded.iter().filter_map(known).collect();
     drop_unknown(runner, &report).await;
     let as_of = asked - REPORT_LAG;
@@ -103,7 +103,7 @@
     let owner = runner.upstream.fleet.holds(now);
     let fencing = runner.state.borrow().slots.as_ref().map(kingcupbay_core::slot::Slots::fencing);
     let Some(fencing) = fencing.filter(|_| owner) else { return };
-    for name in report.loaded.iter().filter(|name| config.version_of(name).is_none()) {
+    for name in report.loaded.iter().filter(|name| config.version_by_model(name).is_none()) {
         let order = UnloadAdapter { lora_name: name.clone(), fencing };
         let sent = engine::unload(&runner.upstream.clients, &runner.row.address, &order);
         let _ = bounded(runner, ORDER_TIME, sent).await;
--- a/kingcupbayd/tests/failure.rs
+++ b/kingcupbayd/tests/failure.rs
@@ -287,7 +287,7 @@
         upstream: config.upstream_names[&name("gpu-1")],
         left: Span::from_secs(30),
         work: Work::Generate {
-            version: config.version_of("tasting@v1").unwrap(),
+            version: config.version_by_model("tasting@v1").unwrap(),
             prompt: Prompt::Text("a tour".into()),
             max_tokens: TOKENS,
             offset: 0,
