--- a/kingcupbay_core/src/admission/estimate.rs
+++ b/kingcupbay_core/src/admission/estimate.rs
@@ -3,7 +3,7 @@
 use crate::{
     deployment::model::AdapterName,
     time::{Instant, Span},
-    wire::sidecar::{Refusal, Want},
+    wire::sidecar::{PermitRequest, Refusal},
 };
 
 use super::{Admission, pauses::Limit};
@@ -14,7 +14,7 @@
 
 impl Admission {
     /// Why no request for `want` is taken at all.
-    pub(super) fn closed(&self, want: &Want) -> Option<Refusal> {
+    pub(super) fn closed(&self, want: &PermitRequest) -> Option<Refusal> {
         let Some(report) = &self.report else { return Some(Refusal::Unready) };
         if report.leaving {
             return Some(Refusal::Leaving);
@@ -33,8 +33,8 @@
     }
 
     /// How long `want` would wait for its place.
-    pub(super) fn estimate(&self, now: Instant, want: &Want) -> Span {
-        let ahead = self.running.unread() + self.queue.tokens_before(want.rank);
+    pub(super) fn estimate(&self, now: Instant, want: &PermitRequest) -> Span {
+        let ahead = self.running.unread() + self.queue.tokens_before(want.priority);
         let reading = self.reading(ahead.saturating_sub(self.limit().at_once()));
         let full = self.running.len() + self.queue.len() >= self.spec.slots.max(1) as usize;
         let leaving = match full {
--- a/kingcupbay_core/src/admission/mod.rs
+++ b/kingcupbay_core/src/admission/mod.rs
@@ -30,7 +30,7 @@
 use crate::{
     deployment::model::{AdapterName, Engine},
     time::{Instant, Span},
-    wire::sidecar::{Pressure, Refusal, Verdict, Want},
+    wire::sidecar::{EngineLoadReport, PermitRequest, Refusal, Verdict},
 };
 
 use self::{
@@ -128,7 +128,7 @@
     }
 
     /// Takes a request in.
-    pub fn on_want(&mut self, now: Instant, ticket: Ticket, want: Want) -> Vec<Action> {
+    pub fn on_want(&mut self, now: Instant, ticket: Ticket, want: PermitRequest) -> Vec<Action> {
         if let Some(newest) = want.newest {
             self.on_version(want.name.clone(), newest);
         }
@@ -137,7 +137,7 @@
             return vec![refuse(ticket, refusal, after)];
         }
         let estimate = self.estimate(now, &want);
-        if estimate > want.patience {
+        if estimate > want.max_wait {
             // When the queue of now is served, not when it would be short enough to
             // take this one in: all who are refused come back by then, and most
             // callers come back once only.
@@ -244,15 +244,17 @@
     }
 
     /// What entries are told.
-    pub fn pressure(&self) -> Pressure {
-        Pressure {
+    pub fn pressure(&self) -> EngineLoadReport {
+        EngineLoadReport {
             engine: None,
             running: self.running.len() as u32,
             waiting: self.queue.len() as u32,
             slots: self.spec.slots,
             delay: self.reading(self.running.unread() + self.queue.tokens()),
             open: self.report.as_ref().is_some_and(|report| !report.leaving),
-            held: Some(self.report.as_ref().map_or_else(Vec::new, |report| report.held.clone())),
+            resident: Some(
+                self.report.as_ref().map_or_else(Vec::new, |report| report.held.clone()),
+            ),
         }
     }
 
--- a/kingcupbay_core/src/admission/queue.rs
+++ b/kingcupbay_core/src/admission/queue.rs
@@ -5,7 +5,7 @@
 use crate::{
     deployment::model::AdapterName,
     time::{Instant, Span},
-    wire::sidecar::Want,
+    wire::sidecar::PermitRequest,
 };
 
 use super::Ticket;
@@ -24,30 +24,30 @@
     /// Its key.
     pub ticket: Ticket,
     /// What it wants.
-    pub want: Want,
+    pub want: PermitRequest,
     /// When it came.
     since: Instant,
 }
 
 impl Waiter {
     /// A request that came at `now`.
-    pub fn new(now: Instant, ticket: Ticket, want: Want) -> Waiter {
+    pub fn new(now: Instant, ticket: Ticket, want: PermitRequest) -> Waiter {
         Waiter { ticket, want, since: now }
     }
 
     /// Until when a place is of use.
     fn until(&self) -> Instant {
-        self.since + self.want.patience
+        self.since + self.want.max_wait
     }
 
     /// Whether it can still be on time if it gets its place in `wait`.
     fn on_time(&self, now: Instant, wait: Span) -> bool {
-        now + wait + FIRST_EVENT <= self.since + self.want.aim
+        now + wait + FIRST_EVENT <= self.since + self.want.latency_target
     }
 
     /// Its turn: the smaller goes first.
     fn turn(&self) -> Instant {
-        self.since + Span::from_micros(RANK_STEP.as_micros() * u64::from(self.want.rank))
+        self.since + Span::from_micros(RANK_STEP.as_micros() * u64::from(self.want.priority))
     }
 }
 
@@ -125,7 +125,7 @@
 
     /// Prompt tokens of those that go before a new request of `rank`.
     pub fn tokens_before(&self, rank: u8) -> u64 {
-        let before = self.waiters.values().filter(|waiter| waiter.want.rank <= rank);
+        let before = self.waiters.values().filter(|waiter| waiter.want.priority <= rank);
         before.map(|waiter| waiter.want.size.prompt).sum()
     }
 
--- a/kingcupbay_core/src/admission/running.rs
+++ b/kingcupbay_core/src/admission/running.rs
@@ -5,7 +5,7 @@
 use crate::{
     deployment::model::AdapterName,
     time::{Instant, Span},
-    wire::sidecar::Want,
+    wire::sidecar::PermitRequest,
 };
 
 use super::{pace::Pace, report::Report};
@@ -51,7 +51,7 @@
 
 impl Running {
     /// A request was let through.
-    pub(super) fn on_grant(&mut self, now: Instant, want: &Want) {
+    pub(super) fn on_grant(&mut self, now: Instant, want: &PermitRequest) {
         let alone = self.unread() == 0;
         for run in self.runs.values_mut().filter(|run| run.events == 0) {
             run.alone = false;
@@ -61,7 +61,7 @@
             name: want.name.clone(),
             kept: want.size.total(),
             prompt: want.size.prompt,
-            gap: want.gap,
+            gap: want.event_gap,
             since: now,
             seen: None,
             events: 0,
--- a/kingcupbay_core/src/admission/told.rs
+++ b/kingcupbay_core/src/admission/told.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     time::{Instant, Span},
-    wire::sidecar::Pressure,
+    wire::sidecar::EngineLoadReport,
 };
 
 /// A message without news goes this often, so that a silent daemon is found: an
@@ -24,7 +24,7 @@
 /// What an entry was told.
 #[derive(Clone, Debug, Default)]
 pub struct Told {
-    last: Option<Pressure>,
+    last: Option<EngineLoadReport>,
     at: Instant,
     /// It has taken the adapters of `last`.
     taken: bool,
@@ -32,8 +32,8 @@
 
 impl Told {
     /// What to tell it now, if anything; adapters only if it lacks them.
-    pub fn next(&mut self, now: Instant, pressure: &Pressure) -> Option<Pressure> {
-        let same_held = self.last.as_ref().is_some_and(|last| last.held == pressure.held);
+    pub fn next(&mut self, now: Instant, pressure: &EngineLoadReport) -> Option<EngineLoadReport> {
+        let same_held = self.last.as_ref().is_some_and(|last| last.resident == pressure.resident);
         let known = self.taken && same_held;
         let moved = self.last.as_ref().is_none_or(|last| has_moved(last, pressure));
         if known && !moved && now.since(self.at) < HEARTBEAT {
@@ -42,8 +42,8 @@
         self.at = now;
         self.taken = known;
         self.last = Some(pressure.clone());
-        let held = if known { None } else { pressure.held.clone() };
-        Some(Pressure { held, ..pressure.clone() })
+        let held = if known { None } else { pressure.resident.clone() };
+        Some(EngineLoadReport { resident: held, ..pressure.clone() })
     }
 
     /// It answered to what it was told at `at`, or did not: whether it knows by
@@ -55,8 +55,8 @@
     }
 }
 
-fn has_moved(last: &Pressure, now: &Pressure) -> bool {
-    let load = |pressure: &Pressure| pressure.running + pressure.waiting;
+fn has_moved(last: &EngineLoadReport, now: &EngineLoadReport) -> bool {
+    let load = |pressure: &EngineLoadReport| pressure.running + pressure.waiting;
     let places = load(last).abs_diff(load(now)) * 100;
     last.open != now.open
         || places >= now.slots.max(1) * MOVED
--- a/kingcupbay_core/src/placement.rs
+++ b/kingcupbay_core/src/placement.rs
@@ -16,7 +16,7 @@
 use crate::{
     deployment::model::{AdapterName, held_version},
     time::{Instant, Span},
-    wire::sidecar::Pressure,
+    wire::sidecar::EngineLoadReport,
 };
 
 /// An engine is too busy for more of its adapters when its pressure is above
@@ -52,7 +52,7 @@
 /// What is known of one engine.
 #[derive(Clone, Debug, Default)]
 struct Seen {
-    pressure: Pressure,
+    pressure: EngineLoadReport,
     /// When it was told.
     at: Option<Instant>,
     /// Requests sent there since.
@@ -70,11 +70,16 @@
 impl Placement {
     /// Takes what the daemon beside an engine told. Whether it is known by now
     /// what the engine holds.
-    pub fn on_pressure(&mut self, now: Instant, engine: SocketAddr, pressure: Pressure) -> bool {
+    pub fn on_pressure(
+        &mut self,
+        now: Instant,
+        engine: SocketAddr,
+        pressure: EngineLoadReport,
+    ) -> bool {
         let before = self.engines.remove(&engine);
-        let held = pressure.held.or_else(|| before.and_then(|seen| seen.pressure.held));
+        let held = pressure.resident.or_else(|| before.and_then(|seen| seen.pressure.resident));
         let known = held.is_some();
-        let pressure = Pressure { held, ..pressure };
+        let pressure = EngineLoadReport { resident: held, ..pressure };
         self.engines.insert(engine, Seen { pressure, at: Some(now), since: 0 });
         known
     }
@@ -98,7 +103,7 @@
 
     /// The version in which `engine` was last known to hold `name`.
     pub fn held(&self, engine: SocketAddr, name: &AdapterName) -> Option<u32> {
-        held_version(self.engines.get(&engine)?.pressure.held.as_deref()?, name)
+        held_version(self.engines.get(&engine)?.pressure.resident.as_deref()?, name)
     }
 
     /// The best of `candidates` for `name`.
--- a/kingcupbay_core/src/wire/sidecar.rs
+++ b/kingcupbay_core/src/wire/sidecar.rs
@@ -1,4 +1,6 @@
-//! Between an entry and the daemon beside an engine, as MessagePack over HTTP.
+//! Messages between an entry and a sidecar, the daemon beside an engine.
+//!
+//! They are sent as MessagePack over HTTP.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,75 +10,79 @@
     time::Span,
 };
 
-/// Asks for a place; the answer, a [`Verdict`], comes when there is one.
-pub const WANT_PATH: &str = "/want";
-/// Gives places back; the body is a list of [`Done`].
-pub const DONE_PATH: &str = "/done";
-/// Tells an entry how busy an engine is; the body is a [`Pressure`]. The answer
-/// is 204 if the entry knows what the engine holds, 202 if it wants to be told.
-pub const PRESSURE_PATH: &str = "/pressure";
+/// Path that takes a [`PermitRequest`]. The answer, a [`Verdict`], is sent once
+/// the request is granted or refused.
+pub const PERMIT_PATH: &str = "/want";
+/// Path that takes released permits; the body is a list of [`PermitRelease`].
+pub const RELEASE_PATH: &str = "/done";
+/// Path at an entry that takes an [`EngineLoadReport`]. The answer is 204 if the
+/// entry knows the resident adapters of the engine, 202 if it needs them.
+pub const LOAD_REPORT_PATH: &str = "/pressure";
 
-/// A request that wants to run on the engine.
+/// A request for permission to run one generation on the engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Want {
-    /// Identity of the caller's attempt, under which the engine runs it.
+pub struct PermitRequest {
+    /// Identifier of the caller's attempt, under which the engine runs it.
     pub attempt: String,
-    /// The adapter or base model.
+    /// Name of the adapter or base model.
     pub name: AdapterName,
-    /// Newest version of the adapter that the entry knows of.
+    /// Newest version of the adapter known to the entry.
     pub newest: Option<u32>,
-    /// Rank, 0 first.
-    pub rank: u8,
-    /// Its tokens.
+    /// Priority; 0 is the most urgent.
+    #[serde(rename = "rank")]
+    pub priority: u8,
+    /// Tokens of the generation.
     pub size: Size,
-    /// Time until the first event would be late.
-    pub aim: Span,
-    /// Longest wait for a place.
-    pub patience: Span,
-    /// Longest pause between two of its events, if its route names one.
-    #[serde(default)]
-    pub gap: Option<Span>,
-    /// Where the entry takes a [`Pressure`].
+    /// Latency target: time left until the first event is late.
+    #[serde(rename = "aim")]
+    pub latency_target: Span,
+    /// Longest time to wait for a permit.
+    #[serde(rename = "patience")]
+    pub max_wait: Span,
+    /// Longest allowed pause between two events, if the route sets one.
+    #[serde(default, rename = "gap")]
+    pub event_gap: Option<Span>,
+    /// Address at which the entry takes an [`EngineLoadReport`].
     pub entry: std::net::SocketAddr,
 }
 
-/// What became of a [`Want`].
+/// The answer to a [`PermitRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Verdict {
-    /// It may be sent now.
+    /// The generation may be sent now.
     Granted {
-        /// Version of the adapter that the engine holds.
+        /// Version of the adapter that is resident on the engine.
         version: Option<u32>,
     },
-    /// It has no place here and was not kept waiting for one.
+    /// There is no permit, and the request does not wait for one.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         why: Refusal,
-        /// When there may be a place.
+        /// Time until a permit may be available.
         after: Span,
     },
 }
 
-/// Why a [`Want`] got no place.
+/// Why a [`PermitRequest`] is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub enum Refusal {
     /// The engine is leaving.
     Leaving,
-    /// The engine has no report or no base model yet.
+    /// The engine has sent no report or has no base model yet.
     Unready,
-    /// It would wait longer than is of use.
+    /// The wait would be too long.
     Busy,
     /// The adapter is being replaced by a newer version.
     Replacing,
-    /// It is larger than the engine's memory.
+    /// The generation does not fit into the engine's memory.
     TooLarge,
 }
 
 impl Refusal {
-    /// For logs and metrics.
+    /// Returns the reason as written to logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Refusal::Leaving => "leaving",
@@ -88,35 +94,37 @@
     }
 }
 
-/// A request that has ended, or whose place will not be used.
+/// A permit whose generation has ended, or which will not be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Done {
-    /// Identity of the caller's attempt.
+pub struct PermitRelease {
+    /// Identifier of the caller's attempt.
     pub attempt: String,
-    /// Longest time between two events, if its stream came whole.
+    /// Longest time between two events, if the stream completed.
     pub pause: Option<Span>,
 }
 
-/// Asks for a copy of an adapter; the body is its [`AdapterName`].
-pub const COPY_PATH: &str = "/copy";
+/// Path that takes a request for a replica of an adapter; the body is the
+/// [`AdapterName`].
+pub const REPLICA_PATH: &str = "/copy";
 
-/// How busy an engine is, and what it holds.
+/// The load of an engine and its resident adapters.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Pressure {
-    /// The engine's address.
+pub struct EngineLoadReport {
+    /// Address of the engine.
     pub engine: Option<std::net::SocketAddr>,
-    /// Requests that run or are about to.
+    /// Requests that are running or about to run.
     pub running: u32,
-    /// Requests that wait for a place.
+    /// Requests that are waiting for a permit.
     pub waiting: u32,
-    /// Requests that run at once.
+    /// Requests that can run at once.
     pub slots: u32,
-    /// Time to read the prompts that are before a new request.
+    /// Prefill time of the prompts that are ahead of a new request.
     pub delay: Span,
-    /// Whether it takes requests.
+    /// Whether the sidecar accepts requests.
     pub open: bool,
-    /// What it holds; `None` if that was told before.
-    pub held: Option<Vec<Held>>,
+    /// Resident adapters; `None` if the entry has been sent them before.
+    #[serde(rename = "held")]
+    pub resident: Option<Vec<Held>>,
 }
--- a/kingcupbay_core/tests/admission.rs
+++ b/kingcupbay_core/tests/admission.rs
@@ -14,7 +14,7 @@
     time::{Instant, Span},
     wire::{
         ask::Size,
-        sidecar::{Refusal, Verdict, Want},
+        sidecar::{PermitRequest, Refusal, Verdict},
     },
 };
 
@@ -26,16 +26,16 @@
     AdapterName { model: "base".into(), adapter: Some(adapter.into()) }
 }
 
-fn want(attempt: &str, adapter: &str) -> Want {
-    Want {
+fn want(attempt: &str, adapter: &str) -> PermitRequest {
+    PermitRequest {
         attempt: attempt.into(),
         name: name(adapter),
         newest: None,
-        rank: 1,
+        priority: 1,
         size: Size { prompt: 1_000, output: 200 },
-        aim: Span::from_millis(800),
-        patience: Span::from_millis(1_600),
-        gap: None,
+        latency_target: Span::from_millis(800),
+        max_wait: Span::from_millis(1_600),
+        event_gap: None,
         entry: "127.0.0.1:1".parse().unwrap(),
     }
 }
@@ -192,7 +192,7 @@
 fn a_request_tells_of_a_newer_version() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
-    let informed = Want { newest: Some(2), ..want("a", "roses") };
+    let informed = PermitRequest { newest: Some(2), ..want("a", "roses") };
     let actions = engine.on_want(at(1), Ticket(1), informed);
     assert_eq!(answers(&actions), []);
     assert_eq!(orders(&actions)[0].target, Target::Unload);
@@ -244,7 +244,7 @@
     for ticket in 1..=5 {
         engine.on_want(at(1), Ticket(ticket), want(&format!("a{ticket}"), "roses"));
     }
-    let urgent = Want { rank: 0, ..want("urgent", "roses") };
+    let urgent = PermitRequest { priority: 0, ..want("urgent", "roses") };
     assert_eq!(answers(&engine.on_want(at(2), Ticket(6), urgent)), []);
     let read = runs(report(0, &[("roses", 1)]), &[("a1", 1), ("a2", 1), ("a3", 1)]);
     assert_eq!(answers(&engine.on_report(at(250), read.clone())), []);
@@ -260,7 +260,7 @@
     engine.on_report(at(0), report(0, &[("roses", 1)]));
     let sized = |attempt: &str, prompt| {
         let size = Size { prompt, output: 90_000 };
-        Want { size, ..want(attempt, "roses") }
+        PermitRequest { size, ..want(attempt, "roses") }
     };
     assert_eq!(answers(&engine.on_want(at(1), Ticket(1), sized("a", 10))), [(1, GRANTED)]);
     assert_eq!(answers(&engine.on_want(at(2), Ticket(2), sized("b", 10))), []);
--- a/kingcupbay_core/tests/engine/mod.rs
+++ b/kingcupbay_core/tests/engine/mod.rs
@@ -12,7 +12,7 @@
     time::{Instant, Span},
     wire::{
         ask::Size,
-        sidecar::{Verdict, Want},
+        sidecar::{PermitRequest, Verdict},
     },
 };
 
@@ -191,16 +191,16 @@
     AdapterName { model: "base".into(), adapter: Some("roses".into()) }
 }
 
-fn want(id: usize, size: Size, aim: u64) -> Want {
-    Want {
+fn want(id: usize, size: Size, aim: u64) -> PermitRequest {
+    PermitRequest {
         attempt: format!("a{id}"),
         name: name(),
         newest: None,
-        rank: 1,
+        priority: 1,
         size,
-        aim: Span::from_millis(aim),
-        patience: Span::from_millis(2 * aim),
-        gap: Some(Span::from_millis(300)),
+        latency_target: Span::from_millis(aim),
+        max_wait: Span::from_millis(2 * aim),
+        event_gap: Some(Span::from_millis(300)),
         entry: "127.0.0.1:1".parse().expect("an address"),
     }
 }
--- a/kingcupbay_core/tests/fates.rs
+++ b/kingcupbay_core/tests/fates.rs
@@ -12,7 +12,7 @@
     time::{Instant, Span},
     wire::{
         ask::Size,
-        sidecar::{Verdict, Want},
+        sidecar::{PermitRequest, Verdict},
     },
 };
 
@@ -80,16 +80,16 @@
     Instant::from_micros(1_000_000 + millis * 1_000)
 }
 
-fn want(attempt: &str) -> Want {
-    Want {
+fn want(attempt: &str) -> PermitRequest {
+    PermitRequest {
         attempt: attempt.into(),
         name: AdapterName { model: "base".into(), adapter: Some("roses".into()) },
         newest: None,
-        rank: 1,
+        priority: 1,
         size: Size { prompt: 100, output: 100 },
-        aim: Span::from_millis(800),
-        patience: Span::from_millis(1_600),
-        gap: None,
+        latency_target: Span::from_millis(800),
+        max_wait: Span::from_millis(1_600),
+        event_gap: None,
         entry: "127.0.0.1:1".parse().unwrap(),
     }
 }
--- a/kingcupbay_core/tests/placement.rs
+++ b/kingcupbay_core/tests/placement.rs
@@ -10,7 +10,7 @@
     placement::Placement,
     repeat::{RepeatLimits, Repeats},
     time::{Instant, Span},
-    wire::sidecar::Pressure,
+    wire::sidecar::EngineLoadReport,
 };
 
 fn at(millis: u64) -> Instant {
@@ -25,10 +25,16 @@
     AdapterName { model: "base".into(), adapter: Some(format!("a{adapter}")) }
 }
 
-fn pressure(running: u32, held: &[u32]) -> Pressure {
+fn pressure(running: u32, held: &[u32]) -> EngineLoadReport {
     let adapters = held.iter().map(|adapter| (format!("a{adapter}"), 1)).collect();
     let held = vec![Held { model: "base".into(), version: 1, adapters }];
-    Pressure { running, slots: 48, open: true, held: Some(held), ..Pressure::default() }
+    EngineLoadReport {
+        running,
+        slots: 48,
+        open: true,
+        resident: Some(held),
+        ..EngineLoadReport::default()
+    }
 }
 
 /// Every entry sends a cold adapter to the same engine, so it is loaded once;
--- a/kingcupbay_core/tests/told.rs
+++ b/kingcupbay_core/tests/told.rs
@@ -7,28 +7,38 @@
     deployment::model::{AdapterName, Held},
     placement::Placement,
     time::{Instant, Span},
-    wire::sidecar::Pressure,
+    wire::sidecar::EngineLoadReport,
 };
 
 fn at(millis: u64) -> Instant {
     Instant::from_micros(1_000_000 + millis * 1_000)
 }
 
-fn pressure(running: u32, adapters: &[(&str, u32)]) -> Pressure {
+fn pressure(running: u32, adapters: &[(&str, u32)]) -> EngineLoadReport {
     let adapters = adapters.iter().map(|&(name, version)| (name.to_owned(), version)).collect();
     let held = vec![Held { model: "base".into(), version: 1, adapters }];
-    Pressure { running, slots: 64, open: true, held: Some(held), ..Pressure::default() }
+    EngineLoadReport {
+        running,
+        slots: 64,
+        open: true,
+        resident: Some(held),
+        ..EngineLoadReport::default()
+    }
 }
 
 /// Tells `pressure` at each of `times`; how often it went, and how often with
 /// the adapters.
-fn tell(told: &mut Told, times: impl Iterator<Item = u64>, pressure: &Pressure) -> (u32, u32) {
+fn tell(
+    told: &mut Told,
+    times: impl Iterator<Item = u64>,
+    pressure: &EngineLoadReport,
+) -> (u32, u32) {
     let mut count = (0, 0);
     for time in times {
         let Some(news) = told.next(at(time), pressure) else { continue };
         told.on_answer(at(time), true);
         count.0 += 1;
-        count.1 += u32::from(news.held.is_some());
+        count.1 += u32::from(news.resident.is_some());
     }
     count
 }
@@ -49,13 +59,14 @@
     tell(&mut told, 0..1, &pressure(13, &[("roses", 1)]));
     assert_eq!(told.next(at(10), &pressure(15, &[("roses", 1)])), None);
     let busier = told.next(at(20), &pressure(19, &[("roses", 1)])).unwrap();
-    assert_eq!((busier.running, busier.held), (19, None));
+    assert_eq!((busier.running, busier.resident), (19, None));
     let newer = told.next(at(30), &pressure(19, &[("roses", 2)])).unwrap();
-    assert!(newer.held.is_some());
-    let delayed = Pressure { delay: Span::from_millis(90), ..pressure(19, &[("roses", 2)]) };
+    assert!(newer.resident.is_some());
+    let delayed =
+        EngineLoadReport { delay: Span::from_millis(90), ..pressure(19, &[("roses", 2)]) };
     told.on_answer(at(30), true);
     assert!(told.next(at(40), &delayed).is_some());
-    let closed = Pressure { open: false, ..delayed };
+    let closed = EngineLoadReport { open: false, ..delayed };
     assert!(told.next(at(50), &closed).is_some());
 }
 
@@ -66,11 +77,11 @@
 fn an_entry_that_lacks_the_adapters_is_told_them() {
     let mut told = Told::default();
     let held = pressure(13, &[("roses", 1)]);
-    assert!(told.next(at(0), &held).unwrap().held.is_some());
-    assert!(told.next(at(250), &held).unwrap().held.is_some());
+    assert!(told.next(at(0), &held).unwrap().resident.is_some());
+    assert!(told.next(at(250), &held).unwrap().resident.is_some());
     // The late answer to the first message says nothing of the second.
     told.on_answer(at(0), true);
-    assert!(told.next(at(500), &held).unwrap().held.is_some());
+    assert!(told.next(at(500), &held).unwrap().resident.is_some());
     told.on_answer(at(500), true);
     let engine = "127.0.0.1:1".parse().unwrap();
     let mut entry = Placement::default();
--- a/kingcupbayd/src/gateway/mod.rs
+++ b/kingcupbayd/src/gateway/mod.rs
@@ -37,7 +37,7 @@
     placement::Placement,
     repeat::Repeats,
     time::Span,
-    wire::{ask::Ask, error::Code, sidecar::Pressure},
+    wire::{ask::Ask, error::Code, sidecar::EngineLoadReport},
 };
 use kingcupbay_platform::request;
 use slog::{info, warn};
@@ -112,7 +112,7 @@
 
     /// Takes what the daemon beside an engine told. Whether it is known by now
     /// what the engine holds.
-    pub(crate) fn on_pressure(&self, pressure: Pressure) -> bool {
+    pub(crate) fn on_pressure(&self, pressure: EngineLoadReport) -> bool {
         let Some(engine) = pressure.engine else { return true };
         self.placement.borrow_mut().on_pressure(clock::now(), engine, pressure)
     }
--- a/kingcupbayd/src/gateway/place.rs
+++ b/kingcupbayd/src/gateway/place.rs
@@ -15,7 +15,7 @@
     time::Span,
     wire::{
         ask::Size,
-        sidecar::{COPY_PATH, DONE_PATH, Done, Verdict, WANT_PATH, Want},
+        sidecar::{PERMIT_PATH, PermitRelease, PermitRequest, RELEASE_PATH, REPLICA_PATH, Verdict},
     },
 };
 use slog::{info, warn};
@@ -39,7 +39,7 @@
 /// Ended requests to tell of, by the daemon that gave the place.
 #[derive(Default)]
 pub(crate) struct Dones {
-    waiting: RefCell<BTreeMap<SocketAddr, Vec<Done>>>,
+    waiting: RefCell<BTreeMap<SocketAddr, Vec<PermitRelease>>>,
     collecting: Cell<bool>,
 }
 
@@ -48,7 +48,7 @@
 pub(crate) struct Place {
     gateway: Rc<Gateway>,
     sidecar: SocketAddr,
-    done: Done,
+    done: PermitRelease,
 }
 
 impl Place {
@@ -60,7 +60,7 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        let empty = Done { attempt: String::new(), pause: None };
+        let empty = PermitRelease { attempt: String::new(), pause: None };
         let done = std::mem::replace(&mut self.done, empty);
         let dones = &self.gateway.dones;
         dones.waiting.borrow_mut().entry(self.sidecar).or_default().push(done);
@@ -99,24 +99,24 @@
 ) -> Option<(Verdict, Place)> {
     let gateway = &job.gateway;
     let sidecar = beside(gateway, engine);
-    let done = Done { attempt: job.attempt().to_owned(), pause: None };
+    let done = PermitRelease { attempt: job.attempt().to_owned(), pause: None };
     let place = Place { gateway: gateway.clone(), sidecar, done };
     let waited = clock::now().since(job.arrived);
-    let want = Want {
+    let want = PermitRequest {
         attempt: job.attempt().to_owned(),
         newest: gateway.node.catalogue.borrow().version(name),
         name: name.clone(),
-        rank: job.rank(),
+        priority: job.rank(),
         size: job.ask.size.unwrap_or(Size { prompt: 500, output: 200 }),
-        aim: job.route.aim.saturating_sub(waited),
-        patience,
-        gap: job.route.gap,
+        latency_target: job.route.aim.saturating_sub(waited),
+        max_wait: patience,
+        event_gap: job.route.gap,
         entry: gateway.node.peers,
     };
     let body = rmp_serde::to_vec_named(&want).expect("a want has only plain fields");
     gateway.placement.borrow_mut().on_send(engine);
     let pool = &gateway.node.pool;
-    let called = pool.call(sidecar, Method::POST, WANT_PATH, &body, patience + MESSAGE).await;
+    let called = pool.call(sidecar, Method::POST, PERMIT_PATH, &body, patience + MESSAGE).await;
     let answer = match called {
         Ok(answer) if answer.status == 200 => {
             rmp_serde::from_slice(&answer.body).map_err(|error| error.to_string())
@@ -141,7 +141,7 @@
 pub(crate) async fn copy(gateway: Rc<Gateway>, engine: SocketAddr, name: AdapterName) {
     let body = rmp_serde::to_vec_named(&name).expect("a name has only plain fields");
     let sidecar = beside(&gateway, engine);
-    let called = gateway.node.pool.call(sidecar, Method::POST, COPY_PATH, &body, MESSAGE).await;
+    let called = gateway.node.pool.call(sidecar, Method::POST, REPLICA_PATH, &body, MESSAGE).await;
     let error = match called {
         Ok(answer) if answer.status == 204 => None,
         Ok(answer) => Some(format!("status {}", answer.status)),
@@ -161,11 +161,11 @@
     }
 }
 
-async fn tell_one(gateway: Rc<Gateway>, sidecar: SocketAddr, dones: Vec<Done>) {
+async fn tell_one(gateway: Rc<Gateway>, sidecar: SocketAddr, dones: Vec<PermitRelease>) {
     let body = rmp_serde::to_vec(&dones).expect("they have only plain fields");
     for _ in 0..TRIES {
         let pool = &gateway.node.pool;
-        let called = pool.call(sidecar, Method::POST, DONE_PATH, &body, MESSAGE).await;
+        let called = pool.call(sidecar, Method::POST, RELEASE_PATH, &body, MESSAGE).await;
         match called {
             Ok(answer) if answer.status == 204 => return,
             Ok(answer) => {
--- a/kingcupbayd/src/registered/start.rs
+++ b/kingcupbayd/src/registered/start.rs
@@ -9,7 +9,7 @@
     time::Span,
     wire::{
         reading::Table,
-        sidecar::{COPY_PATH, DONE_PATH, PRESSURE_PATH, Pressure, WANT_PATH},
+        sidecar::{EngineLoadReport, LOAD_REPORT_PATH, PERMIT_PATH, RELEASE_PATH, REPLICA_PATH},
         tally::{ROWS_PATH, TALLY_PATH},
     },
 };
@@ -182,7 +182,7 @@
 }
 
 async fn take_pressure(gateway: Rc<Gateway>, mut request: Request) -> Response<BoxBody> {
-    let pressure = match message::read::<Pressure>(&gateway.node.log, &mut request).await {
+    let pressure = match message::read::<EngineLoadReport>(&gateway.node.log, &mut request).await {
         Ok(pressure) => pressure,
         Err(answer) => return answer,
     };
--- a/kingcupbayd/src/sidecar/desk.rs
+++ b/kingcupbayd/src/sidecar/desk.rs
@@ -7,7 +7,7 @@
     admission::Ticket,
     deployment::model::AdapterName,
     time::Span,
-    wire::sidecar::{Done, Refusal, Verdict, Want},
+    wire::sidecar::{PermitRelease, PermitRequest, Refusal, Verdict},
 };
 use slog::{debug, info};
 use tokio::sync::oneshot;
@@ -36,7 +36,7 @@
 
 /// Answers when there is a place, or none in time.
 pub(crate) async fn want(sidecar: Rc<Sidecar>, mut request: Request) -> Response<BoxBody> {
-    let want = match message::read::<Want>(&sidecar.node.log, &mut request).await {
+    let want = match message::read::<PermitRequest>(&sidecar.node.log, &mut request).await {
         Ok(want) => want,
         Err(answer) => return answer,
     };
@@ -74,12 +74,12 @@
 
 /// Takes places back.
 pub(crate) async fn done(sidecar: Rc<Sidecar>, mut request: Request) -> Response<BoxBody> {
-    let dones = match message::read::<Vec<Done>>(&sidecar.node.log, &mut request).await {
+    let dones = match message::read::<Vec<PermitRelease>>(&sidecar.node.log, &mut request).await {
         Ok(dones) => dones,
         Err(answer) => return answer,
     };
     let now = clock::now();
-    for Done { attempt, pause } in dones {
+    for PermitRelease { attempt, pause } in dones {
         if let Some(pause) = pause {
             sidecar.admission.borrow_mut().on_stream(&attempt, pause);
         }
--- a/kingcupbayd/src/sidecar/metrics.rs
+++ b/kingcupbayd/src/sidecar/metrics.rs
@@ -3,7 +3,7 @@
 use kingcupbay_core::{
     admission::order::{Reply, Target},
     time::Span,
-    wire::sidecar::{Pressure, Verdict},
+    wire::sidecar::{EngineLoadReport, Verdict},
 };
 use prometheus::{HistogramVec, IntCounterVec, IntGaugeVec, Registry};
 
@@ -72,7 +72,7 @@
     }
 
     /// All metrics in Prometheus's text format, with the load of this moment.
-    pub(crate) fn text(&self, now: &Pressure) -> String {
+    pub(crate) fn text(&self, now: &EngineLoadReport) -> String {
         self.requests.with_label_values(&["running"]).set(i64::from(now.running));
         self.requests.with_label_values(&["waiting"]).set(i64::from(now.waiting));
         text(&self.registry)
--- a/kingcupbayd/src/sidecar/tell.rs
+++ b/kingcupbayd/src/sidecar/tell.rs
@@ -6,7 +6,7 @@
 use actix_http::Method;
 use kingcupbay_core::{
     time::{Instant, Span},
-    wire::sidecar::{PRESSURE_PATH, Pressure},
+    wire::sidecar::{EngineLoadReport, LOAD_REPORT_PATH},
 };
 use slog::debug;
 
@@ -39,10 +39,10 @@
     }
 }
 
-async fn tell(sidecar: Rc<Sidecar>, entry: SocketAddr, at: Instant, news: Pressure) {
+async fn tell(sidecar: Rc<Sidecar>, entry: SocketAddr, at: Instant, news: EngineLoadReport) {
     let pool = &sidecar.node.pool;
     let body = rmp_serde::to_vec(&news).expect("a pressure has only plain fields");
-    let called = pool.call(entry, Method::POST, PRESSURE_PATH, &body, ANSWER).await;
+    let called = pool.call(entry, Method::POST, LOAD_REPORT_PATH, &body, ANSWER).await;
     let known = called.as_ref().is_ok_and(|answer| answer.status == 204);
     if let Some(entry) = sidecar.entries.borrow_mut().get_mut(&entry) {
         entry.told.on_answer(at, known);
