--- a/kingcupbay/src/client.rs
+++ b/kingcupbay/src/client.rs
@@ -12,7 +12,7 @@
         patch::{Patch, PatchError},
     },
     id::Number,
-    wire::admin::{self, History, Outcome, Refused, Taken, Undecided},
+    wire::admin::{self, History, PatchRefused, PatchStored, PatchUndecided, UndecidedOutcome},
 };
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -51,7 +51,7 @@
 /// What one daemon made of a patch.
 enum Posted {
     /// A final answer.
-    Answer(Result<Taken, PatchError>),
+    Answer(Result<PatchStored, PatchError>),
     /// This daemon took nothing to the table.
     Not(String),
     /// The patch may be in the table.
@@ -119,7 +119,7 @@
     /// An answer may be lost after the patch took effect. The same patch is
     /// then posted again, to the next daemon too: it is known by its id, so a
     /// repeat is answered as the first time and never taken twice.
-    pub(crate) async fn post(&self, patch: &Patch) -> Result<Taken, Error> {
+    pub(crate) async fn post(&self, patch: &Patch) -> Result<PatchStored, Error> {
         let body = serde_json::to_vec(patch).expect("a patch is JSON");
         let mut attempts = Vec::new();
         let mut maybe = false;
@@ -157,7 +157,7 @@
         against: Number,
         current: Number,
         mut attempts: Vec<String>,
-    ) -> Result<Taken, Error> {
+    ) -> Result<PatchStored, Error> {
         let history = match self.history(against).await {
             Ok(history) => history,
             Err(error) => {
@@ -168,7 +168,7 @@
         match history.patches.iter().find(|entry| entry.number == against.next()) {
             Some(entry) if entry.patch.id == patch.id => {
                 // The table holds it; whether a majority does, it can't say.
-                Ok(Taken { number: entry.number, acknowledged: false })
+                Ok(PatchStored { number: entry.number, acknowledged: false })
             }
             Some(_) => Err(Error::Stale { against, current }),
             None => Err(Error::Unknown { id: patch.id, attempts }),
@@ -183,7 +183,7 @@
                 Err(Failed::Lost(problem)) => return Posted::Maybe(problem),
             };
         if status == StatusCode::OK
-            && let Ok(taken) = serde_json::from_slice::<Taken>(&body)
+            && let Ok(taken) = serde_json::from_slice::<PatchStored>(&body)
         {
             return match taken.acknowledged {
                 true => Posted::Answer(Ok(taken)),
@@ -192,12 +192,16 @@
                 }
             };
         }
-        if let Ok(refused) = serde_json::from_slice::<Refused>(&body) {
+        if let Ok(refused) = serde_json::from_slice::<PatchRefused>(&body) {
             return Posted::Answer(Err(refused.error));
         }
-        match serde_json::from_slice::<Undecided>(&body) {
-            Ok(Undecided { outcome: Outcome::NotTaken, message }) => Posted::Not(message),
-            Ok(Undecided { outcome: Outcome::Unknown, message }) => Posted::Maybe(message),
+        match serde_json::from_slice::<PatchUndecided>(&body) {
+            Ok(PatchUndecided { outcome: UndecidedOutcome::NotTaken, message }) => {
+                Posted::Not(message)
+            }
+            Ok(PatchUndecided { outcome: UndecidedOutcome::Unknown, message }) => {
+                Posted::Maybe(message)
+            }
             // An answer of no known shape proves nothing.
             Err(_) => Posted::Maybe(format!("{status}: {}", String::from_utf8_lossy(&body))),
         }
--- a/kingcupbay/src/inspect.rs
+++ b/kingcupbay/src/inspect.rs
@@ -2,7 +2,7 @@
 
 use kingcupbay_core::{
     id::{Name, Number},
-    wire::admin::{self, Numbered},
+    wire::admin::{self, NumberedPatch},
 };
 use serde_json::Value;
 
@@ -14,7 +14,7 @@
 
 pub(crate) async fn history(session: &Session, after: u64) -> Result<String, Error> {
     let history = session.client.history(Number(after)).await?;
-    let columns: [Column<Numbered>; 4] = [
+    let columns: [Column<NumberedPatch>; 4] = [
         Column("number", |row| row.number.to_string()),
         Column("patch", |row| row.patch.id.to_string()),
         Column("author", |row| row.patch.author.clone()),
--- a/kingcupbay/src/session.rs
+++ b/kingcupbay/src/session.rs
@@ -5,7 +5,7 @@
 use kingcupbay_core::{
     config::{change::Change, patch::Patch},
     id::{Number, RequestId},
-    wire::admin::Taken,
+    wire::admin::PatchStored,
 };
 use serde::Serialize;
 
@@ -55,7 +55,11 @@
     }
 
     /// Has one change taken, against the number given or the one in force.
-    pub(crate) async fn change(&self, against: Against, change: Change) -> Result<Taken, Error> {
+    pub(crate) async fn change(
+        &self,
+        against: Against,
+        change: Change,
+    ) -> Result<PatchStored, Error> {
         let number = match against.against {
             Some(number) => Number(number),
             None => self.client.config().await?.number,
@@ -64,7 +68,7 @@
     }
 
     /// The text that tells of a patch that was taken.
-    pub(crate) fn taken(&self, taken: Taken) -> String {
+    pub(crate) fn taken(&self, taken: PatchStored) -> String {
         match self.json {
             true => output::json(&taken),
             false if taken.acknowledged => format!("number {} is in force", taken.number),
--- a/kingcupbay/tests/admin/mod.rs
+++ b/kingcupbay/tests/admin/mod.rs
@@ -15,7 +15,9 @@
         patch::{Patch, PatchError},
     },
     id::Number,
-    wire::admin::{History, Numbered, Outcome, Refused, Taken, Undecided},
+    wire::admin::{
+        History, NumberedPatch, PatchRefused, PatchStored, PatchUndecided, UndecidedOutcome,
+    },
 };
 use serde::Serialize;
 
@@ -42,7 +44,7 @@
 #[derive(Default)]
 pub(crate) struct State {
     pub(crate) config: Config,
-    pub(crate) history: Vec<Numbered>,
+    pub(crate) history: Vec<NumberedPatch>,
     pub(crate) faults: VecDeque<Fault>,
     pub(crate) posted: Vec<Patch>,
     forgotten: bool,
@@ -165,29 +167,29 @@
             take(state, Patch { changes: vec![], ..other }, true);
             None
         }
-        Some(Fault::NotTaken) => Some(undecided(Outcome::NotTaken)),
-        Some(Fault::Unknown) => Some(undecided(Outcome::Unknown)),
+        Some(Fault::NotTaken) => Some(undecided(UndecidedOutcome::NotTaken)),
+        Some(Fault::Unknown) => Some(undecided(UndecidedOutcome::Unknown)),
     }
 }
 
-fn undecided(outcome: Outcome) -> (u16, Vec<u8>) {
-    (503, json(&Undecided { outcome, message: "the table is down".into() }))
+fn undecided(outcome: UndecidedOutcome) -> (u16, Vec<u8>) {
+    (503, json(&PatchUndecided { outcome, message: "the table is down".into() }))
 }
 
 fn take(state: &mut State, patch: Patch, acknowledged: bool) -> (u16, Vec<u8>) {
     let known = state.history.iter().find(|entry| entry.patch.id == patch.id);
     if let Some(known) = known.filter(|_| !state.forgotten) {
-        return (200, json(&Taken { number: known.number, acknowledged }));
+        return (200, json(&PatchStored { number: known.number, acknowledged }));
     }
     match state.config.patched(&patch) {
         Ok(config) => {
             let number: Number = config.number;
             state.config = config;
-            state.history.push(Numbered { number, patch });
-            (200, json(&Taken { number, acknowledged }))
+            state.history.push(NumberedPatch { number, patch });
+            (200, json(&PatchStored { number, acknowledged }))
         }
-        Err(error @ PatchError::Stale { .. }) => (409, json(&Refused { error })),
-        Err(error) => (422, json(&Refused { error })),
+        Err(error @ PatchError::Stale { .. }) => (409, json(&PatchRefused { error })),
+        Err(error) => (422, json(&PatchRefused { error })),
     }
 }
 
--- a/kingcupbay_core/src/allowance.rs
+++ b/kingcupbay_core/src/allowance.rs
@@ -15,7 +15,7 @@
     deployment::model::Organisation,
     id::Number,
     time::{Instant, Span},
-    wire::tally::{Tally, Use},
+    wire::usage::{OrganisationUsage, UsageReport},
 };
 
 /// Shortest time between two tallies. Within it entries spend the same tokens
@@ -102,7 +102,7 @@
 struct Peer {
     incarnation: u64,
     heard: Instant,
-    uses: BTreeMap<String, Use>,
+    uses: BTreeMap<String, OrganisationUsage>,
 }
 
 /// The buckets of one entry.
@@ -116,7 +116,7 @@
     /// started.
     peers: BTreeMap<String, Option<Peer>>,
     /// What the others were last told of each organisation.
-    told: BTreeMap<String, Use>,
+    told: BTreeMap<String, OrganisationUsage>,
     /// Tallies until the next whole one.
     until_whole: u32,
     /// Another entry was silent when the limits were last looked at.
@@ -224,7 +224,7 @@
     }
 
     /// What the other entries are told.
-    pub fn tally(&mut self, now: Instant, number: Number) -> Tally {
+    pub fn tally(&mut self, now: Instant, number: Number) -> UsageReport {
         let blind = self.look(now);
         let whole = self.until_whole == 0;
         self.until_whole = if whole { WHOLE_EACH - 1 } else { self.until_whole - 1 };
@@ -241,12 +241,12 @@
             if !blind {
                 account.told = demand;
             }
-            uses.insert(name.clone(), Use { spent, demand, level });
+            uses.insert(name.clone(), OrganisationUsage { spent, demand, level });
         }
         self.told.extend(uses.iter().map(|(name, used)| (name.clone(), *used)));
         let host = self.host.clone();
         let incarnation = self.incarnation;
-        Tally { host, incarnation, number, whole, uses, ..Tally::default() }
+        UsageReport { host, incarnation, number, whole, uses, ..UsageReport::default() }
     }
 
     /// Another entry lacks what the last whole tally told; the next one is whole.
@@ -256,7 +256,7 @@
 
     /// Takes what another entry told. False: this entry has no whole tally of it,
     /// without which it cannot tell what was spent since.
-    pub fn on_tally(&mut self, now: Instant, tally: Tally) -> bool {
+    pub fn on_tally(&mut self, now: Instant, tally: UsageReport) -> bool {
         let young = now.since(self.started) < YOUNG;
         let before = self.peers.get(&tally.host).cloned().flatten();
         let same = before.as_ref().is_some_and(|peer| peer.incarnation == tally.incarnation);
--- a/kingcupbay_core/src/backlog.rs
+++ b/kingcupbay_core/src/backlog.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     time::{Instant, Span},
-    wire::ask::Load,
+    wire::metadata::Load,
 };
 
 /// Weight of one answer's time against all before it.
--- a/kingcupbay_core/src/deployment/catalogue.rs
+++ b/kingcupbay_core/src/deployment/catalogue.rs
@@ -11,7 +11,7 @@
 use crate::{
     config::model::Role,
     time::{Instant, Span},
-    wire::reading::{Changed, What},
+    wire::read_position::{ChangeKind, TableChange},
 };
 
 use super::{
@@ -169,24 +169,24 @@
     }
 
     /// Takes a change that another entry has read.
-    pub fn on_changed(&mut self, now: Instant, change: Changed) {
+    pub fn on_changed(&mut self, now: Instant, change: TableChange) {
         let version = change.version;
-        match change.what {
-            What::Upstream(row) if row.leaving => {
+        match change.kind {
+            ChangeKind::Upstream(row) if row.leaving => {
                 self.departures.on_told(now, &row.id, version);
                 if !self.is_outdated(&row) {
                     self.insert(row);
                 }
             }
-            What::Upstream(row) => self.on_instance(now, row),
-            What::UpstreamGone(id) => {
+            ChangeKind::Upstream(row) => self.on_instance(now, row),
+            ChangeKind::UpstreamGone(id) => {
                 if self.instances.get(&id).is_some_and(|known| known.version <= version) {
                     self.departures.on_told(now, &id, version);
                     self.drop_instance(&id);
                 }
             }
-            What::Entry(member) => self.on_member(member),
-            What::EntryGone(host) => self.on_member_gone(&host),
+            ChangeKind::Entry(member) => self.on_member(member),
+            ChangeKind::EntryGone(host) => self.on_member_gone(&host),
         }
     }
 
--- a/kingcupbay_core/src/deployment/readings.rs
+++ b/kingcupbay_core/src/deployment/readings.rs
@@ -3,7 +3,7 @@
 //! If every entry read every change, the store would be called entries times changes.
 //! A few entries read ([`super::readers`]) and tell the others in their tallies how far
 //! they have read and what changed. An entry knows a table as of a version of the store;
-//! a [`Reading`] takes it further only if nothing is missing in between. One that has
+//! a [`ReadPosition`] takes it further only if nothing is missing in between. One that has
 //! not been taken further for [`Table::listen`] reads by itself, whoever the readers
 //! are and whatever became of them.
 
@@ -11,7 +11,7 @@
 
 use crate::{
     time::{Instant, Span},
-    wire::reading::{Changed, Reading, Table},
+    wire::read_position::{ReadPosition, Table, TableChange},
 };
 
 use super::waits::{ENTRIES_LISTEN, OPERATOR_LISTEN, SOUND, UPSTREAMS_LISTEN};
@@ -34,7 +34,7 @@
 
     /// Whether an entry that lacks changes has to read them. Otherwise another reader's
     /// tally may have them.
-    fn is_untold(self, reading: &Reading) -> bool {
+    fn is_untold(self, reading: &ReadPosition) -> bool {
         self == Table::Operator || reading.changes.len() >= CHANGES_MAX
     }
 }
@@ -53,7 +53,7 @@
     /// Invariant: changes after this version, up to that of `own`, are in `changes`.
     since: u64,
     /// Changes that this entry read first, and how many tallies have still to name each.
-    changes: VecDeque<(Changed, u32)>,
+    changes: VecDeque<(TableChange, u32)>,
 }
 
 /// Every followed table.
@@ -83,7 +83,7 @@
         now: Instant,
         table: Table,
         version: u64,
-        changes: impl IntoIterator<Item = Changed>,
+        changes: impl IntoIterator<Item = TableChange>,
     ) {
         let progress = self.tables.entry(table).or_default();
         progress.on_own(now, version);
@@ -100,7 +100,7 @@
     }
 
     /// What the next tally tells: tables that this entry read itself lately.
-    pub fn tell(&mut self, now: Instant) -> BTreeMap<Table, Reading> {
+    pub fn tell(&mut self, now: Instant) -> BTreeMap<Table, ReadPosition> {
         let tables = self.tables.iter_mut();
         tables
             .filter_map(|(&table, progress)| Some((table, progress.tell(now, table.listen())?)))
@@ -113,8 +113,8 @@
         &mut self,
         now: Instant,
         table: Table,
-        reading: Reading,
-    ) -> Option<Vec<Changed>> {
+        reading: ReadPosition,
+    ) -> Option<Vec<TableChange>> {
         let progress = self.tables.entry(table).or_default();
         if progress.known < reading.since {
             if table.is_untold(&reading) {
@@ -157,7 +157,7 @@
         }
     }
 
-    fn tell(&mut self, now: Instant, limit: Span) -> Option<Reading> {
+    fn tell(&mut self, now: Instant, limit: Span) -> Option<ReadPosition> {
         let (version, at) = self.own?;
         let age = now.since(at);
         if age >= limit {
@@ -171,7 +171,7 @@
         while self.changes.front().is_some_and(|(_, tallies)| *tallies == 0) {
             self.drop_oldest();
         }
-        Some(Reading { version, age, since, changes })
+        Some(ReadPosition { version, age, since, changes })
     }
 
     fn drop_oldest(&mut self) {
--- a/kingcupbay_core/src/wire/engine.rs
+++ b/kingcupbay_core/src/wire/engine.rs
@@ -1,4 +1,4 @@
-//! The interface of model engines.
+//! The HTTP interface of model engines.
 //!
 //! `POST /v1/completions` and `POST /v1/chat/completions` answer with
 //! server-sent events, `POST /v1/load_lora_adapter` and
@@ -11,32 +11,31 @@
 
 use crate::id::RequestId;
 
-/// A generation order. `model` names a loaded adapter as `adapter@version`,
-/// or the base model.
+/// A generation request.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Generate {
-    /// Adapter and version, or base model.
+    /// A loaded adapter version as `adapter@version`, or the base model.
     pub model: String,
-    /// The prompt of a text completion.
+    /// Prompt of a text completion.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub prompt: Option<String>,
-    /// The messages of a chat completion.
+    /// Messages of a chat completion.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub messages: Option<Vec<Message>>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Always true on this hop.
+    /// Whether to stream the answer; always true between daemon and engine.
     pub stream: bool,
-    /// Identity of the request, echoed as `id` in every event.
+    /// Identifier of the request, echoed as `id` in every event.
     pub request_id: RequestId,
-    /// Tokens already delivered; generation resumes after them.
+    /// Number of tokens already delivered; generation resumes after them.
     #[serde(default)]
     pub offset: u32,
-    /// Higher goes first.
+    /// Priority; higher values run first.
     #[serde(default)]
     pub priority: i32,
-    /// Sampling fields such as `temperature`.
+    /// Sampling parameters such as `temperature`.
     #[serde(flatten)]
     pub sampling: BTreeMap<String, serde_json::Value>,
 }
@@ -47,7 +46,7 @@
 pub struct Message {
     /// `system`, `user` or `assistant`.
     pub role: String,
-    /// The text.
+    /// Text of the message.
     pub content: String,
 }
 
@@ -55,29 +54,29 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Chunk {
-    /// Echo of the request id.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// The adapter and version that generated it.
+    /// Adapter and version that generated the event.
     pub model: String,
     /// Exactly one choice.
     pub choices: Vec<Choice>,
-    /// Only on the last event.
+    /// Token usage; only on the last event.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
-/// The one choice of a [`Chunk`]. Chat streams carry the same shape here:
-/// the daemon makes the chat shape towards its caller.
+/// The only choice of a [`Chunk`]. Engines use this form for chat streams too;
+/// the daemon converts it to the chat form for callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Choice {
-    /// Always 0.
+    /// Index of the choice; always 0.
     pub index: u32,
     /// Text of one token; empty on the last event.
     pub text: String,
-    /// Position of this token in the answer, from 0.
+    /// Position of the token in the answer, from 0.
     pub offset: u32,
-    /// `stop` or `length` on the last event.
+    /// Reason for the end, `stop` or `length`; only on the last event.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
@@ -90,44 +89,48 @@
     pub prompt_tokens: u32,
     /// Tokens generated.
     pub completion_tokens: u32,
-    /// Both.
+    /// Sum of both.
     pub total_tokens: u32,
 }
 
-/// Order to load an adapter version. The answer comes when it is loaded:
-/// 200, 409 with the newer number when `fencing` is old, 503 when the load
-/// failed, 507 when no slot is free.
+/// Request to load an adapter version.
+///
+/// The engine answers once the load has ended: 200 if the version is loaded, 409
+/// with the newer number if `fencing` is outdated, 503 if the load failed, 507 if
+/// no slot is free.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LoadAdapter {
-    /// `adapter@version`.
+    /// Name of the version, `adapter@version`.
     pub lora_name: String,
-    /// Where the weight store keeps it.
+    /// Path in the weight store.
     pub lora_path: String,
-    /// Fencing number of the daemon that orders.
+    /// Fencing number of the daemon that sends the request.
     pub fencing: u64,
 }
 
-/// Order to unload an adapter version; 200 also when it is not loaded,
-/// 409 as for [`LoadAdapter`] or while a request still uses it.
+/// Request to unload an adapter version.
+///
+/// The answer is 200 also if the version is not loaded, and 409 if `fencing` is
+/// outdated, as for [`LoadAdapter`], or while a request still uses the version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct UnloadAdapter {
-    /// `adapter@version`.
+    /// Name of the version, `adapter@version`.
     pub lora_name: String,
-    /// Fencing number of the daemon that orders.
+    /// Fencing number of the daemon that sends the request.
     pub fencing: u64,
 }
 
-/// Order to cancel a stream; 200 also when it is not running.
+/// Request to cancel a stream. The answer is 200 also if it is not running.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Cancel {
-    /// The stream's request.
+    /// Identifier of the stream's request.
     pub request_id: RequestId,
 }
 
-/// An engine's report of its load, which lags.
+/// An engine's report of its load, which lags behind the actual state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LoadReport {
@@ -137,30 +140,30 @@
     pub running: u32,
     /// Requests waiting inside the engine.
     pub waiting: u32,
-    /// Adapter slots.
+    /// Number of adapter slots.
     pub slots: u32,
     /// Loaded adapter versions, sorted.
     pub loaded: Vec<String>,
 }
 
-/// Prefix cache and residency events after a sequence number; some are
-/// missing, as the numbers show.
+/// Prefix cache and residency events after a sequence number. Events may be
+/// missing; gaps in the sequence numbers reveal this.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Events {
-    /// The events.
+    /// Events in the order of their sequence numbers.
     pub events: Vec<Event>,
 }
 
-/// One event.
+/// An event of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Event {
     /// Sequence number within the engine's incarnation.
     pub seq: u64,
-    /// What happened.
+    /// Kind of the event.
     pub kind: EventKind,
-    /// The adapter version concerned.
+    /// Adapter version concerned.
     pub model: String,
 }
 
--- a/kingcupbay_core/src/wire/error.rs
+++ b/kingcupbay_core/src/wire/error.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when a request does not succeed.
+//! Errors that callers receive when a request does not succeed.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,11 +9,11 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// It provably never reached an engine or service.
+    /// The request definitely never reached an engine or service.
     NotRun,
-    /// It ran, wholly or in part.
+    /// The request ran, completely or in part.
     Ran,
-    /// It may or may not have run.
+    /// The request may or may not have run.
     Unknown,
 }
 
@@ -28,17 +28,17 @@
         }
 
         impl Code {
-            /// Every code.
+            /// All codes in declaration order.
             pub const ALL: &[Code] = &[$(Code::$code),*];
 
-            /// The code as callers see it.
+            /// Returns the code as sent to callers.
             pub const fn as_str(self) -> &'static str {
                 match self {
                     $(Code::$code => $text,)*
                 }
             }
 
-            /// HTTP status of an answer with this code.
+            /// Returns the HTTP status of an answer with this code.
             pub const fn status(self) -> u16 {
                 match self {
                     $(Code::$code => $status,)*
@@ -87,27 +87,27 @@
     Stopping = "stopping", 503;
 }
 
-/// A refusal or failure, complete for the caller.
+/// A refusal or failure, as reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Failure {
-    /// Stable code.
+    /// Stable code of the failure.
     pub code: Code,
     /// Whether the request ran.
     pub ran: Ran,
-    /// One sentence for a person.
+    /// One sentence for the reader of the error.
     pub message: String,
-    /// When coming back helps, and how long to wait first.
+    /// Time to wait before a retry; `None` if a retry does not help.
     pub retry_after: Option<Span>,
 }
 
 impl Failure {
-    /// A failure that provably did not run.
+    /// Creates a failure of a request that definitely did not run.
     pub fn not_run(code: Code, message: impl Into<String>) -> Failure {
         Failure { code, ran: Ran::NotRun, message: message.into(), retry_after: None }
     }
 
-    /// The same failure with a time to come back.
+    /// Sets the time to wait before a retry.
     pub fn after(mut self, span: Span) -> Failure {
         self.retry_after = Some(span);
         self
--- a/kingcupbay_core/src/wire/fleet.rs
+++ b/kingcupbay_core/src/wire/fleet.rs
@@ -4,19 +4,19 @@
 
 use crate::id::Name;
 
-/// One host as the list shows it. The list lags behind the truth.
+/// A host in the list. The list lags behind the actual state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Host {
-    /// The host's name.
+    /// Name of the host.
     pub name: Name,
-    /// The host's availability zone.
+    /// Availability zone of the host.
     pub zone: Name,
-    /// Whether the host is about to be taken away.
+    /// Whether the host is about to be removed.
     pub leaving: bool,
 }
 
-/// The list.
+/// The list of hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Hosts {
--- /dev/null
+++ b/kingcupbay_core/src/wire/metadata.rs
@@ -0,0 +1,87 @@
+//! Metadata of requests and answers, independent of the header names.
+
+use serde::{Deserialize, Serialize};
+
+use crate::{config::model::KeyHash, deployment::model::AdapterName, time::Span};
+
+/// Size of a generation in tokens.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+#[derive(Serialize, Deserialize)]
+pub struct Size {
+    /// Tokens of the prompt.
+    pub prompt: u64,
+    /// Maximum number of generated tokens.
+    pub output: u64,
+}
+
+impl Size {
+    /// Returns the sum of both: the tokens counted by a rate limit and the tokens
+    /// that memory is reserved for.
+    pub fn total(self) -> u64 {
+        self.prompt.saturating_add(self.output)
+    }
+}
+
+/// Metadata in the head of a caller's request.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct RequestMetadata {
+    /// Identifier of the caller's attempt.
+    pub attempt: Option<String>,
+    /// How long the caller waits, counted from the arrival of the request.
+    pub deadline: Option<Span>,
+    /// Hash of the access key; the secret itself is not passed on.
+    pub key: Option<KeyHash>,
+    /// Name of the adapter or base model.
+    pub model: Option<AdapterName>,
+    /// Size of the requested generation.
+    pub size: Option<Size>,
+    /// Last event of the stream that the caller has received.
+    pub last_event: Option<u64>,
+}
+
+/// Metadata sent to an upstream in addition to the caller's own headers.
+#[derive(Clone, Debug, PartialEq)]
+pub struct UpstreamRequestMetadata<'a> {
+    /// Remaining time until the answer is useless.
+    pub remaining: Span,
+    /// Id of the only upstream that may run the request.
+    pub instance: &'a str,
+    /// Organisation that the request belongs to.
+    pub organisation: Option<&'a str>,
+    /// The only version of the adapter that may run it.
+    pub version: Option<u32>,
+    /// Priority from 0, the most urgent, to 9.
+    pub priority: Option<u8>,
+    /// Event after which the stream resumes.
+    pub last_event: Option<u64>,
+}
+
+/// Metadata in the head of an upstream's answer.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct AnswerMetadata {
+    /// Identifier of the attempt that is answered.
+    pub attempt: Option<String>,
+    /// Whether the answer bears the signature of an upstream.
+    pub signed: bool,
+    /// Whether the request did not run and will not run.
+    pub not_run: bool,
+    /// Load of the upstream.
+    pub load: Option<Load>,
+    /// Id of the upstream that answered, if the answer names it.
+    pub instance: Option<String>,
+    /// Whether the body is encoded, which upstreams never do.
+    pub encoded: bool,
+    /// Idle timeout of the connection.
+    pub idle: Option<Span>,
+}
+
+/// Load of an upstream.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Load {
+    /// Requests that are running.
+    pub running: u32,
+    /// Requests that are waiting in the upstream.
+    pub waiting: u32,
+    /// Requests that can run at once.
+    pub slots: u32,
+}
--- a/kingcupbay_core/src/wire/reading.rs
+++ b/kingcupbay_core/src/wire/read_position.rs
@@ -1,5 +1,5 @@
-//! Between entries: what one has read of the store's tables, for those that do not
-//! read them themselves.
+//! Read positions in the store's tables, which entries that read a table send to
+//! those that do not.
 
 use serde::{Deserialize, Serialize};
 
@@ -20,40 +20,42 @@
     Entries,
 }
 
-/// How far an entry has read a table.
+/// Position up to which an entry has read a table.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Reading {
-    /// It knows the table as of this version of the store.
+pub struct ReadPosition {
+    /// Version of the store up to which the table has been read.
     pub version: u64,
-    /// Time since the store answered with that.
+    /// Time since the store answered with `version`.
     pub age: Span,
-    /// Invariant: what changed after this version, up to `version`, is in `changes`.
+    /// Start of `changes`. Invariant: every change after this version, up to
+    /// `version`, is in `changes`.
     pub since: u64,
-    /// Changes in the order of their versions.
-    pub changes: Vec<Changed>,
+    /// Changes in ascending order of their versions.
+    pub changes: Vec<TableChange>,
 }
 
 /// One change of a table.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Changed {
-    /// Version of the store that shows it.
+pub struct TableChange {
+    /// Version of the store that shows the change.
     pub version: u64,
-    /// What happened.
-    pub what: What,
+    /// Kind of the change, with the row concerned.
+    #[serde(rename = "what")]
+    pub kind: ChangeKind,
 }
 
-/// What happened to a row.
+/// What happened to a row of a table.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub enum What {
+pub enum ChangeKind {
     /// An upstream is registered.
     Upstream(Instance),
-    /// The upstream with this id is not registered any more.
+    /// The upstream with this id is no longer registered.
     UpstreamGone(String),
     /// An entry is registered.
     Entry(Member),
-    /// The entry on this host is not registered any more.
+    /// The entry on this host is no longer registered.
     EntryGone(String),
 }
--- a/kingcupbay_core/src/wire/rows.rs
+++ b/kingcupbay_core/src/wire/rows.rs
@@ -1,60 +1,62 @@
-//! Rows that outlast every host: what a daemon reads, follows and writes where
-//! the platform keeps the configuration.
+//! Rows of the platform's durable store, where daemons read, follow and write the
+//! configuration.
 
-/// Which row.
+/// Identifier of a row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RowKey {
-    /// Its table.
+    /// Name of the table.
     pub table: String,
-    /// Its key in the table.
+    /// Key within the table.
     pub key: String,
 }
 
 /// A row as read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// Which row.
+    /// Identifier of the row.
     pub key: RowKey,
-    /// Its content.
+    /// Content of the row.
     pub value: Vec<u8>,
-    /// Grows with every transaction of the whole store.
+    /// Version of the last write to the row. Versions increase with every
+    /// transaction of the whole store.
     pub version: u64,
 }
 
-/// What happened to a row.
+/// A change of a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// It was written.
+pub enum RowChange {
+    /// The row was written.
     Put(Row),
-    /// It is gone, as of this version.
+    /// The row was removed, as of this version.
     Removed(RowKey, u64),
 }
 
-impl Change {
-    /// Version of the store that shows it.
+impl RowChange {
+    /// Returns the version of the store that shows the change.
     pub fn version(&self) -> u64 {
         match self {
-            Change::Put(row) => row.version,
-            Change::Removed(_, version) => *version,
+            RowChange::Put(row) => row.version,
+            RowChange::Removed(_, version) => *version,
         }
     }
 }
 
-/// Rows or changes in order.
+/// A page of rows or changes, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Page {
-    /// The rows.
-    pub rows: Vec<Change>,
+pub struct RowPage {
+    /// Rows or changes of the page.
+    pub rows: Vec<RowChange>,
     /// Version of the store that the page shows.
     pub version: u64,
-    /// Whether rows follow that did not fit.
+    /// Whether more rows follow on another page.
     pub more: bool,
 }
 
-/// All writes happen when all conditions hold, and none otherwise.
+/// A transaction. All writes take effect if all conditions hold, and none
+/// otherwise.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
-    /// Rows with the version that each must have, 0 where it must not exist.
+    /// Required version of each row; 0 if the row must not exist.
     pub conditions: Vec<(RowKey, u64)>,
     /// New contents; `None` removes the row.
     pub writes: Vec<(RowKey, Option<Vec<u8>>)>,
@@ -65,6 +67,7 @@
 pub enum TxnAnswer {
     /// Every write took effect, at this version of the store.
     Committed(u64),
-    /// No write took effect; the rows whose condition failed, as they are.
-    Conflict(Vec<Change>),
+    /// No write took effect. Contains the current state of the rows whose
+    /// condition failed.
+    Conflict(Vec<RowChange>),
 }
--- a/kingcupbay_core/src/wire/run.rs
+++ b/kingcupbay_core/src/wire/run.rs
@@ -1,4 +1,4 @@
-//! Order of an entry to an upstream daemon, and the frames that answer it.
+//! Requests of an entry to an upstream daemon, and the frames of the answer.
 //!
 //! `POST /run` carries a [`Run`]; the body of the answer is a sequence of
 //! length-delimited MessagePack [`Frame`]s.
@@ -16,56 +16,56 @@
     },
 };
 
-/// One request, as the entry admitted it. It never carries the key.
+/// A request admitted by an entry. It never contains the access key.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Run {
-    /// Identity on every hop.
+    /// Identifier of the request on every hop.
     pub request: RequestId,
-    /// The organisation whose key admitted it.
+    /// Organisation whose key admitted the request.
     pub organisation: OrganisationId,
-    /// The configuration it was admitted under; the upstream daemon must
-    /// know at least this one before it answers.
+    /// Number of the configuration under which the request was admitted; the
+    /// upstream daemon must know at least this one before it answers.
     pub number: Number,
-    /// The upstream that is to run it.
+    /// Upstream that must run the request.
     pub upstream: UpstreamId,
-    /// Time left until the caller's deadline when this was sent.
+    /// Time left until the caller's deadline when the request was sent.
     pub left: Span,
     /// What to run.
     pub work: Work,
 }
 
-/// What a [`Run`] asks for.
+/// The work requested by a [`Run`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum Work {
     /// Generate with an adapter version.
     Generate {
-        /// The adapter version.
+        /// Adapter version to use.
         version: VersionId,
-        /// The prompt.
+        /// Prompt of the generation.
         prompt: Prompt,
-        /// Most tokens to generate.
+        /// Maximum number of tokens to generate.
         max_tokens: u32,
-        /// Tokens already delivered to the caller.
+        /// Number of tokens already delivered to the caller.
         offset: u32,
-        /// Sampling fields of the caller, passed on to the engine.
+        /// Sampling parameters of the caller, passed on to the engine.
         sampling: BTreeMap<String, serde_json::Value>,
     },
     /// Call a plain service.
     Call {
-        /// The route.
+        /// Route to call.
         route: RouteId,
         /// Path below the route.
         path: String,
-        /// Idempotency key of the caller; required when once-only.
+        /// Idempotency key of the caller; required if the call runs at most once.
         idempotency: Option<String>,
-        /// The body.
+        /// Body of the call.
         body: Vec<u8>,
     },
 }
 
-/// The two prompt shapes.
+/// Prompt of a text or chat completion.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Prompt {
@@ -75,17 +75,17 @@
     Chat(Vec<Message>),
 }
 
-/// Bytes of text that count as one token before the engine has counted.
-const TOKEN_BYTES: u64 = 4;
+/// Bytes of text estimated as one token until the engine has counted.
+const BYTES_PER_TOKEN: u64 = 4;
 
 impl Prompt {
-    /// Tokens of the prompt, as far as they can be told without the engine.
+    /// Estimates the number of tokens of the prompt without the engine.
     pub fn tokens(&self) -> u64 {
         let bytes: usize = match self {
             Prompt::Text(text) => text.len(),
             Prompt::Chat(messages) => messages.iter().map(|message| message.content.len()).sum(),
         };
-        (bytes as u64).div_ceil(TOKEN_BYTES)
+        (bytes as u64).div_ceil(BYTES_PER_TOKEN)
     }
 }
 
@@ -93,10 +93,10 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Frame {
-    /// The request it belongs to; a frame of another request is dropped and
-    /// ends the stream.
+    /// Request that the frame belongs to; the receiver drops a frame of another
+    /// request and ends the stream.
     pub request: RequestId,
-    /// The content.
+    /// Content of the frame.
     pub event: RunEvent,
 }
 
@@ -104,29 +104,30 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum RunEvent {
-    /// Still alive; nothing new.
+    /// The daemon is alive and has nothing to send.
     Heartbeat,
-    /// The order reached the engine: from here on it is not "not run".
+    /// The request has reached the engine; a later failure can no longer be
+    /// reported as not run.
     Started,
-    /// One token.
+    /// A generated token.
     Token {
-        /// Position in the answer, from 0.
+        /// Position of the token in the answer, from 0.
         offset: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Done {
-        /// `stop` or `length`.
+        /// Reason for the end, `stop` or `length`.
         reason: String,
         /// Tokens counted.
         usage: Usage,
     },
     /// A plain service's answer.
     Called {
-        /// Its HTTP status.
+        /// HTTP status of the answer.
         status: u16,
-        /// Its body.
+        /// Body of the answer.
         body: Vec<u8>,
         /// Whether this is the recorded outcome of an earlier attempt.
         replayed: bool,
--- a/kingcupbay_core/src/wire/sidecar.rs
+++ b/kingcupbay_core/src/wire/sidecar.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::ask::Size;
+use super::metadata::Size;
 use crate::{
     deployment::model::{AdapterName, Held},
     time::Span,
@@ -122,7 +122,7 @@
     pub slots: u32,
     /// Prefill time of the prompts that are ahead of a new request.
     pub delay: Span,
-    /// Whether the sidecar accepts requests.
+    /// Whether the engine accepts requests.
     pub open: bool,
     /// Resident adapters; `None` if the entry has been sent them before.
     #[serde(rename = "held")]
--- a/kingcupbay_core/src/wire/table.rs
+++ b/kingcupbay_core/src/wire/table.rs
@@ -2,45 +2,46 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A row as read. A row that does not exist is not listed.
+/// A row as read. Rows that do not exist are not listed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Row {
-    /// The row's key.
+    /// Key of the row.
     pub key: String,
-    /// The row's content.
+    /// Content of the row.
     pub value: String,
-    /// Counts the writes to this row, from 1.
+    /// Number of writes to this row, from 1.
     pub revision: u64,
 }
 
-/// A condition on one row: its revision, 0 when it must not exist.
+/// A condition on one row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Condition {
-    /// The row's key.
+    /// Key of the row.
     pub key: String,
-    /// The revision it must have.
+    /// Required revision; 0 if the row must not exist.
     pub revision: u64,
 }
 
-/// A write to one row; `None` removes it.
+/// A write to one row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Write {
-    /// The row's key.
+    /// Key of the row.
     pub key: String,
-    /// The new content.
+    /// New content; `None` removes the row.
     pub value: Option<String>,
 }
 
-/// All writes happen when all conditions hold, and none otherwise.
+/// A transaction. All writes take effect if all conditions hold, and none
+/// otherwise.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Txn {
-    /// What must hold.
+    /// Conditions that must hold.
     pub conditions: Vec<Condition>,
-    /// What is written then.
+    /// Writes to apply.
     pub writes: Vec<Write>,
 }
 
@@ -51,32 +52,33 @@
 pub enum TxnAnswer {
     /// Every write took effect.
     Committed,
-    /// No write took effect; the rows whose condition failed, as they are.
+    /// No write took effect. Contains the current state of the rows whose
+    /// condition failed.
     Conflict(Vec<Row>),
 }
 
-/// What to read in one consistent step.
+/// A consistent read of several rows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Read {
-    /// These rows.
+    /// The rows with these keys.
     Keys(Vec<String>),
-    /// Up to `limit` rows whose key is `from` or greater, below `to`.
+    /// Up to `limit` rows with keys from `from` up to, but excluding, `to`.
     Range {
-        /// First key.
+        /// First key of the range.
         from: String,
-        /// Key after the last.
+        /// End of the range, exclusive.
         to: String,
-        /// Most rows in the answer.
+        /// Maximum number of rows in the answer.
         limit: usize,
     },
 }
 
-/// The rows found, in the order of their keys.
+/// Answer to a [`Read`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Rows {
-    /// The rows.
+    /// Rows that exist, in key order.
     pub rows: Vec<Row>,
 }
--- /dev/null
+++ b/kingcupbay_core/src/wire/usage.rs
@@ -0,0 +1,87 @@
+//! Usage reports and stored rows that daemons exchange, as MessagePack over HTTP.
+
+use std::collections::BTreeMap;
+
+use serde::{Deserialize, Serialize};
+
+use crate::id::Number;
+
+use super::read_position::{ReadPosition, Table};
+
+/// Path that takes a [`UsageReport`] of another entry. The answer is 204, or 202
+/// if a complete report is needed.
+pub const USAGE_PATH: &str = "/tally";
+/// Path that returns the [`StoredRows`] known to this daemon, for daemons that
+/// cannot reach the store.
+pub const ROWS_PATH: &str = "/rows";
+
+/// Usage by the callers of one entry.
+#[derive(Clone, Debug, Default, PartialEq)]
+#[derive(Serialize, Deserialize)]
+pub struct UsageReport {
+    /// Host of the entry.
+    pub host: String,
+    /// Random number drawn when the entry starts; a new incarnation counts from
+    /// zero.
+    pub incarnation: u64,
+    /// Number of the configuration that the entry acts on.
+    pub number: Number,
+    /// Whether the report names every organisation, or only those whose usage has
+    /// changed.
+    pub whole: bool,
+    /// Usage by organisation.
+    pub uses: BTreeMap<String, OrganisationUsage>,
+    /// Upstreams that have left, with the version of the store that shows their
+    /// departure.
+    pub left: BTreeMap<String, u64>,
+    /// Read positions of the tables that the entry reads from the store itself.
+    #[serde(rename = "readings")]
+    pub positions: BTreeMap<Table, ReadPosition>,
+}
+
+/// Usage of one organisation at one entry.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+#[derive(Serialize, Deserialize)]
+pub struct OrganisationUsage {
+    /// Tokens admitted since the entry started, minus those returned.
+    pub spent: i64,
+    /// Recent rate of requested tokens per second, including refused ones.
+    pub demand: f64,
+    /// Remaining tokens of the burst, as estimated by the entry.
+    pub level: f64,
+}
+
+/// Rows as read from the store or received from another daemon.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+#[derive(Serialize, Deserialize)]
+pub struct StoredRows {
+    /// Rows in the order of their tables and keys.
+    pub rows: Vec<StoredRow>,
+}
+
+/// A row of the store.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+#[derive(Serialize, Deserialize)]
+pub struct StoredRow {
+    /// Name of the table.
+    pub table: String,
+    /// Key within the table.
+    pub key: String,
+    /// Version of the row in the store.
+    pub version: u64,
+    /// Content of the row.
+    pub value: serde_bytes_vec::Bytes,
+}
+
+/// Bytes that are serialised as a byte string instead of a list of numbers.
+pub mod serde_bytes_vec {
+    use serde::{Deserialize, Serialize};
+    use serde_with::{Bytes as AsBytes, serde_as};
+
+    /// Content of a row.
+    #[serde_as]
+    #[derive(Clone, Debug, Default, PartialEq, Eq)]
+    #[derive(Serialize, Deserialize)]
+    #[serde(transparent)]
+    pub struct Bytes(#[serde_as(as = "AsBytes")] pub Vec<u8>);
+}
--- a/kingcupbay_core/tests/admission.rs
+++ b/kingcupbay_core/tests/admission.rs
@@ -13,7 +13,7 @@
     deployment::model::{AdapterName, Engine, Held, Model},
     time::{Instant, Span},
     wire::{
-        ask::Size,
+        metadata::Size,
         sidecar::{PermitRequest, Refusal, Verdict},
     },
 };
--- a/kingcupbay_core/tests/allowance.rs
+++ b/kingcupbay_core/tests/allowance.rs
@@ -9,7 +9,7 @@
     deployment::model::Organisation,
     id::Number,
     time::{Instant, Span},
-    wire::tally::Tally,
+    wire::usage::UsageReport,
 };
 
 const RATE: u64 = 100_000;
@@ -40,7 +40,7 @@
     entries: Vec<Allowance>,
     /// Who may hear whom.
     linked: fn(usize, usize) -> bool,
-    on_way: VecDeque<(u64, usize, Tally)>,
+    on_way: VecDeque<(u64, usize, UsageReport)>,
     /// Tokens let through, by step.
     through: Vec<u64>,
     asked: u64,
@@ -216,7 +216,7 @@
     fleet.play(0, 4_000, 1_500, |_| RATE as f64);
     let mut fresh = Allowance::new("entry-0", 77, at(4_000));
     fresh.on_entries(["entry-0", "entry-1", "entry-2", "entry-3"].into_iter());
-    let part = Tally { whole: false, ..fleet.entries[1].tally(at(4_000), Number(1)) };
+    let part = UsageReport { whole: false, ..fleet.entries[1].tally(at(4_000), Number(1)) };
     assert!(!fresh.on_tally(at(4_000), part));
     fleet.entries[0] = fresh;
     fleet.through.clear();
--- a/kingcupbay_core/tests/backlog.rs
+++ b/kingcupbay_core/tests/backlog.rs
@@ -8,7 +8,7 @@
     backlog::Backlog,
     random::Random,
     time::{Instant, Span},
-    wire::ask::Load,
+    wire::metadata::Load,
 };
 
 const SLOTS: usize = 6;
--- a/kingcupbay_core/tests/engine/mod.rs
+++ b/kingcupbay_core/tests/engine/mod.rs
@@ -11,7 +11,7 @@
     random::Random,
     time::{Instant, Span},
     wire::{
-        ask::Size,
+        metadata::Size,
         sidecar::{PermitRequest, Verdict},
     },
 };
--- a/kingcupbay_core/tests/fates.rs
+++ b/kingcupbay_core/tests/fates.rs
@@ -11,7 +11,7 @@
     deployment::model::{AdapterName, Engine, Held},
     time::{Instant, Span},
     wire::{
-        ask::Size,
+        metadata::Size,
         sidecar::{PermitRequest, Verdict},
     },
 };
--- a/kingcupbay_core/tests/readings.rs
+++ b/kingcupbay_core/tests/readings.rs
@@ -8,7 +8,7 @@
     config::model::Role,
     deployment::{catalogue::Member, readers::reads, readings::Readings},
     time::{Instant, Span},
-    wire::reading::{Changed, Reading, Table, What},
+    wire::read_position::{ChangeKind, ReadPosition, Table, TableChange},
 };
 
 const UPSTREAMS: Table = Table::Upstreams;
@@ -17,8 +17,8 @@
     Instant::from_micros(5_000_000 + millis * 1_000)
 }
 
-fn gone(version: u64) -> Changed {
-    Changed { version, what: What::UpstreamGone(format!("desk-{version}")) }
+fn gone(version: u64) -> TableChange {
+    TableChange { version, kind: ChangeKind::UpstreamGone(format!("desk-{version}")) }
 }
 
 /// A reader that knows the upstreams as of `version`.
@@ -28,11 +28,11 @@
     readings
 }
 
-fn tell(readings: &mut Readings, now: Instant) -> Reading {
+fn tell(readings: &mut Readings, now: Instant) -> ReadPosition {
     readings.tell(now).remove(&UPSTREAMS).unwrap()
 }
 
-fn versions(changes: &[Changed]) -> Vec<u64> {
+fn versions(changes: &[TableChange]) -> Vec<u64> {
     changes.iter().map(|change| change.version).collect()
 }
 
@@ -145,7 +145,7 @@
 #[test]
 fn a_read_that_lags_is_not_told() {
     let mut reader = reader(10);
-    let newer = Reading { version: 30, age: Span::ZERO, since: 10, changes: Vec::new() };
+    let newer = ReadPosition { version: 30, age: Span::ZERO, since: 10, changes: Vec::new() };
     assert!(reader.on_reading(at(100), UPSTREAMS, newer).is_some());
     reader.on_page(at(200), UPSTREAMS, 20, []);
     let told = tell(&mut reader, at(300));
@@ -245,13 +245,13 @@
 
 fn read(now: Instant, entry: &mut (Readings, Vec<u64>), store: &[u64], newest: u64) {
     let known = entry.0.known(UPSTREAMS);
-    let changes: Vec<Changed> =
+    let changes: Vec<TableChange> =
         store.iter().filter(|&&seen| seen > known).map(|&seen| gone(seen)).collect();
     entry.1.extend(versions(&changes));
     entry.0.on_page(now, UPSTREAMS, newest, changes);
 }
 
-fn hear(now: Instant, entry: &mut (Readings, Vec<u64>), told: &BTreeMap<Table, Reading>) {
+fn hear(now: Instant, entry: &mut (Readings, Vec<u64>), told: &BTreeMap<Table, ReadPosition>) {
     for (&table, reading) in told {
         if let Some(changes) = entry.0.on_reading(now, table, reading.clone()) {
             entry.1.extend(versions(&changes));
--- a/kingcupbayd/src/admin/mod.rs
+++ b/kingcupbayd/src/admin/mod.rs
@@ -14,8 +14,8 @@
     time::Span,
     wire::{
         admin::{
-            CONFIG_PATH, DUMP_PATH, HISTORY_PATH, History, Numbered, Outcome, PATCH_PATH, Refused,
-            STATUS_PATH, Taken, Undecided,
+            CONFIG_PATH, DUMP_PATH, HISTORY_PATH, History, NumberedPatch, PATCH_PATH, PatchRefused,
+            PatchStored, PatchUndecided, STATUS_PATH, UndecidedOutcome,
         },
         error::{Code, Failure},
     },
@@ -105,8 +105,10 @@
     let after = query.strip_prefix("after=").and_then(|text| text.parse().ok()).unwrap_or(0);
     match daemon.fleet.history(Number(after)).await {
         Ok(patches) => {
-            let patches =
-                patches.into_iter().map(|(number, patch)| Numbered { number, patch }).collect();
+            let patches = patches
+                .into_iter()
+                .map(|(number, patch)| NumberedPatch { number, patch })
+                .collect();
             reply::json(StatusCode::OK, &History { patches })
         }
         Err(error) => {
@@ -125,11 +127,11 @@
         }
     };
     let undecided = |outcome, message| {
-        reply::json(StatusCode::SERVICE_UNAVAILABLE, &Undecided { outcome, message })
+        reply::json(StatusCode::SERVICE_UNAVAILABLE, &PatchUndecided { outcome, message })
     };
     match daemon.fleet.patch(&patch).await {
         PatchOutcome::Taken { number, acknowledged } => {
-            reply::json(StatusCode::OK, &Taken { number, acknowledged })
+            reply::json(StatusCode::OK, &PatchStored { number, acknowledged })
         }
         PatchOutcome::Refused(error) => {
             let status = match error {
@@ -138,10 +140,10 @@
                     StatusCode::UNPROCESSABLE_ENTITY
                 }
             };
-            reply::json(status, &Refused { error })
+            reply::json(status, &PatchRefused { error })
         }
-        PatchOutcome::NotTaken(message) => undecided(Outcome::NotTaken, message),
-        PatchOutcome::Unknown(message) => undecided(Outcome::Unknown, message),
+        PatchOutcome::NotTaken(message) => undecided(UndecidedOutcome::NotTaken, message),
+        PatchOutcome::Unknown(message) => undecided(UndecidedOutcome::Unknown, message),
     }
 }
 
--- a/kingcupbayd/src/gateway/job.rs
+++ b/kingcupbayd/src/gateway/job.rs
@@ -10,7 +10,7 @@
 use kingcupbay_core::{
     deployment::model::{Deployment, Organisation, Route},
     time::{Instant, Span},
-    wire::ask::Ask,
+    wire::metadata::RequestMetadata,
 };
 
 use crate::{clock, gateway::Gateway};
@@ -23,7 +23,7 @@
     pub(crate) route: Rc<Route>,
     /// Whose it is; nobody's where no key is asked for.
     pub(crate) who: Option<Rc<Organisation>>,
-    pub(crate) ask: Ask,
+    pub(crate) ask: RequestMetadata,
     /// Tokens taken off its organisation's limit.
     pub(crate) cost: u64,
     pub(crate) method: Method,
--- a/kingcupbayd/src/gateway/mod.rs
+++ b/kingcupbayd/src/gateway/mod.rs
@@ -37,7 +37,7 @@
     placement::Placement,
     repeat::Repeats,
     time::Span,
-    wire::{ask::Ask, error::Code, sidecar::EngineLoadReport},
+    wire::{error::Code, metadata::RequestMetadata, sidecar::EngineLoadReport},
 };
 use kingcupbay_platform::request;
 use slog::{info, warn};
@@ -206,7 +206,7 @@
 fn admit(
     deployment: &Deployment,
     request: &Request,
-    ask: &Ask,
+    ask: &RequestMetadata,
 ) -> Result<(Rc<Route>, Option<Rc<Organisation>>), Refusal> {
     let named = request.headers().get("host").and_then(|host| host.to_str().ok());
     let named = named.or_else(|| request.uri().host()).unwrap_or_default();
@@ -232,7 +232,7 @@
     }
 }
 
-fn cost(who: &Organisation, ask: &Ask) -> u64 {
+fn cost(who: &Organisation, ask: &RequestMetadata) -> u64 {
     match (who.tokens, ask.size) {
         (true, Some(size)) => size.total(),
         (true, None) => who.plain,
--- a/kingcupbayd/src/gateway/place.rs
+++ b/kingcupbayd/src/gateway/place.rs
@@ -14,7 +14,7 @@
     health::Ending,
     time::Span,
     wire::{
-        ask::Size,
+        metadata::Size,
         sidecar::{PERMIT_PATH, PermitRelease, PermitRequest, RELEASE_PATH, REPLICA_PATH, Verdict},
     },
 };
--- a/kingcupbayd/src/gateway/plain.rs
+++ b/kingcupbayd/src/gateway/plain.rs
@@ -169,7 +169,7 @@
                 let mut backlog = job.gateway.backlog.borrow_mut();
                 backlog.on_answer(now, &instance.id, load, now.since(began));
             }
-            let proper = said.stamped && !said.encoded;
+            let proper = said.signed && !said.encoded;
             match proper || !head.status.is_success() {
                 true => Outcome::Answer(head, body),
                 false => Outcome::Unknown(LinkError::Malformed("no proof".to_owned())),
--- a/kingcupbayd/src/gateway/reply.rs
+++ b/kingcupbayd/src/gateway/reply.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use kingcupbay_core::{
     time::Span,
-    wire::{ask::Ask, error::Code},
+    wire::{error::Code, metadata::RequestMetadata},
 };
 use kingcupbay_platform::{answer, request};
 
@@ -56,7 +56,11 @@
 }
 
 /// The answer for a refusal.
-pub(crate) fn refuse(gateway: &Gateway, ask: &Ask, refusal: Refusal) -> Response<BoxBody> {
+pub(crate) fn refuse(
+    gateway: &Gateway,
+    ask: &RequestMetadata,
+    refusal: Refusal,
+) -> Response<BoxBody> {
     gateway.metrics.on_refusal(refusal.code);
     let mut builder = ResponseBuilder::new(refusal.status());
     builder.insert_header((header::CONTENT_TYPE, "application/json"));
--- a/kingcupbayd/src/gateway/send.rs
+++ b/kingcupbayd/src/gateway/send.rs
@@ -5,7 +5,7 @@
 use kingcupbay_core::{
     deployment::model::Instance,
     time::Span,
-    wire::ask::{Given, Said},
+    wire::metadata::{AnswerMetadata, UpstreamRequestMetadata},
 };
 use kingcupbay_platform::{answer, request};
 use slog::warn;
@@ -31,7 +31,7 @@
 pub(crate) struct Sent {
     pub(crate) link: Link,
     pub(crate) head: ResponseHead,
-    pub(crate) said: Said,
+    pub(crate) said: AnswerMetadata,
 }
 
 /// What an attempt is given besides the caller's request.
@@ -48,8 +48,8 @@
 pub(crate) async fn send(job: &Job, instance: &Instance, extra: Extra) -> Result<Sent, LinkError> {
     let pool = &job.gateway.node.pool;
     let mut link = pool.get(instance.address).await?;
-    let given = Given {
-        left: job.left().saturating_sub(MARGIN).max(Span::from_millis(1)),
+    let given = UpstreamRequestMetadata {
+        remaining: job.left().saturating_sub(MARGIN).max(Span::from_millis(1)),
         instance: &instance.id,
         organisation: job.who.as_ref().map(|who| who.name.as_str()),
         version: extra.version,
@@ -74,7 +74,7 @@
 
 /// An answer is the request's own only if it names it. What never ran may
 /// come without a name.
-fn is_own(job: &Job, said: &Said) -> bool {
+fn is_own(job: &Job, said: &AnswerMetadata) -> bool {
     match &said.attempt {
         Some(attempt) => Some(attempt) == job.ask.attempt.as_ref(),
         None => said.not_run || job.ask.attempt.is_none(),
@@ -86,7 +86,7 @@
     job: &Job,
     instance: &Instance,
     mut sent: Sent,
-) -> Result<(ResponseHead, Said, Bytes), LinkError> {
+) -> Result<(ResponseHead, AnswerMetadata, Bytes), LinkError> {
     let mut body = BytesMut::new();
     while let Some(chunk) = sent.link.chunk().await? {
         if body.len() + chunk.len() > BODY_MAX {
--- a/kingcupbayd/src/registered/copies.rs
+++ b/kingcupbayd/src/registered/copies.rs
@@ -10,8 +10,8 @@
 use kingcupbay_core::{
     deployment::waits,
     wire::{
-        rows::{Change, Row, RowKey},
-        tally::{Copies, Copy, ROWS_PATH, serde_bytes_vec::Bytes},
+        rows::{Row, RowChange, RowKey},
+        usage::{ROWS_PATH, StoredRow, StoredRows, serde_bytes_vec::Bytes},
     },
 };
 use slog::{info, warn};
@@ -29,10 +29,10 @@
 
 impl Rows {
     /// Takes a change.
-    pub(crate) fn on_change(&mut self, change: &Change) {
+    pub(crate) fn on_change(&mut self, change: &RowChange) {
         match change {
-            Change::Put(row) => self.on_row(row),
-            Change::Removed(key, _) => drop(self.rows.remove(key)),
+            RowChange::Put(row) => self.on_row(row),
+            RowChange::Removed(key, _) => drop(self.rows.remove(key)),
         }
     }
 
@@ -45,14 +45,14 @@
     }
 
     /// All rows, for another daemon.
-    pub(crate) fn copies(&self) -> Copies {
-        let copy = |(key, (version, value)): (&RowKey, &(u64, Vec<u8>))| Copy {
+    pub(crate) fn copies(&self) -> StoredRows {
+        let copy = |(key, (version, value)): (&RowKey, &(u64, Vec<u8>))| StoredRow {
             table: key.table.clone(),
             key: key.key.clone(),
             version: *version,
             value: Bytes(value.clone()),
         };
-        Copies { rows: self.rows.iter().map(copy).collect() }
+        StoredRows { rows: self.rows.iter().map(copy).collect() }
     }
 }
 
@@ -73,7 +73,7 @@
             return false;
         }
     };
-    let copies: Copies = match rmp_serde::from_slice(&answer.body) {
+    let copies: StoredRows = match rmp_serde::from_slice(&answer.body) {
         Ok(copies) => copies,
         Err(error) => {
             warn!(node.log, ""; "event" => "copies_malformed", "peer" => %address,
@@ -84,7 +84,7 @@
     let newest = copies.rows.iter().map(|copy| copy.version).max();
     info!(node.log, ""; "event" => "copies_taken", "peer" => %address,
         "rows" => copies.rows.len(), "version" => newest);
-    for Copy { table, key, version, value: Bytes(value) } in copies.rows {
+    for StoredRow { table, key, version, value: Bytes(value) } in copies.rows {
         follow::on_copy(node, &Row { key: RowKey { table, key }, value, version });
     }
     true
--- a/kingcupbayd/src/registered/follow.rs
+++ b/kingcupbayd/src/registered/follow.rs
@@ -7,8 +7,8 @@
     deployment::{catalogue::Member, waits},
     time::{Instant, Span},
     wire::{
-        reading::{Changed, Table, What},
-        rows::{Change, Page, Row, RowKey},
+        read_position::{ChangeKind, Table, TableChange},
+        rows::{Row, RowChange, RowKey, RowPage},
     },
 };
 use kingcupbay_platform::{
@@ -104,8 +104,8 @@
         let before = rows.len();
         // A page begins with the last row of the one before.
         rows.extend(page.rows.into_iter().filter_map(|change| match change {
-            Change::Put(row) if before == 0 || row.key.key != from => Some(row),
-            Change::Put(_) | Change::Removed(..) => None,
+            RowChange::Put(row) if before == 0 || row.key.key != from => Some(row),
+            RowChange::Put(_) | RowChange::Removed(..) => None,
         }));
         if !page.more || rows.len() == before {
             return Ok((rows, version));
@@ -166,9 +166,9 @@
 }
 
 /// Takes an answer of a feed.
-fn take_page(node: &Rc<Node>, table: Table, page: Page) {
+fn take_page(node: &Rc<Node>, table: Table, page: RowPage) {
     let known = node.readings.borrow().known(table);
-    let last = page.rows.last().map(Change::version);
+    let last = page.rows.last().map(RowChange::version);
     // What does not fit is told by the next call.
     let version = if page.more { last.unwrap_or(known) } else { page.version };
     let now = clock::now();
@@ -207,7 +207,7 @@
     match table {
         Table::Operator => {
             for row in rows {
-                take(node, table, Change::Put(row));
+                take(node, table, RowChange::Put(row));
             }
         }
         Table::Upstreams => {
@@ -248,7 +248,7 @@
 }
 
 /// Takes one change. What other entries have to hear of it.
-fn take(node: &Rc<Node>, table: Table, change: Change) -> Option<Changed> {
+fn take(node: &Rc<Node>, table: Table, change: RowChange) -> Option<TableChange> {
     let now = clock::now();
     let version = change.version();
     let what = match (table, change) {
@@ -256,14 +256,14 @@
             take_operator(node, change);
             None
         }
-        (Table::Upstreams, Change::Put(row)) => match registration::instance(&row) {
+        (Table::Upstreams, RowChange::Put(row)) => match registration::instance(&row) {
             Ok(instance) => {
                 info!(node.log, ""; "event" => "upstream", "id" => &instance.id,
                     "address" => %instance.address, "leaving" => instance.leaving,
                     "born" => instance.born, "count" => instance.count,
                     "version" => row.version);
                 let news = node.catalogue.borrow().is_news(&instance);
-                let told = news.then(|| What::Upstream(instance.clone()));
+                let told = news.then(|| ChangeKind::Upstream(instance.clone()));
                 node.catalogue.borrow_mut().on_instance(now, instance);
                 told
             }
@@ -271,35 +271,35 @@
                 unreadable(node, &row.key, &error);
                 let id = row.key.key;
                 node.catalogue.borrow_mut().on_instance_gone(now, &id, version);
-                Some(What::UpstreamGone(id))
+                Some(ChangeKind::UpstreamGone(id))
             }
         },
-        (Table::Upstreams, Change::Removed(key, version)) => {
+        (Table::Upstreams, RowChange::Removed(key, version)) => {
             info!(node.log, ""; "event" => "upstream_gone", "id" => &key.key,
                 "why" => "removed", "version" => version);
             node.catalogue.borrow_mut().on_instance_gone(now, &key.key, version);
-            Some(What::UpstreamGone(key.key))
+            Some(ChangeKind::UpstreamGone(key.key))
         }
-        (Table::Entries, Change::Put(row)) => {
+        (Table::Entries, RowChange::Put(row)) => {
             let member = member(node, &row);
             if let Some(member) = &member {
                 node.catalogue.borrow_mut().on_member(member.clone());
             }
-            member.map(What::Entry)
+            member.map(ChangeKind::Entry)
         }
-        (Table::Entries, Change::Removed(key, _)) => {
+        (Table::Entries, RowChange::Removed(key, _)) => {
             info!(node.log, ""; "event" => "entry_gone", "host" => &key.key);
             node.catalogue.borrow_mut().on_member_gone(&key.key);
-            Some(What::EntryGone(key.key))
+            Some(ChangeKind::EntryGone(key.key))
         }
     };
     node.changed.notify_waiters();
-    what.map(|what| Changed { version, what })
+    what.map(|what| TableChange { version, kind: what })
 }
 
-fn take_operator(node: &Rc<Node>, change: Change) {
+fn take_operator(node: &Rc<Node>, change: RowChange) {
     node.rows.borrow_mut().on_change(&change);
-    let Change::Put(row) = change else { return };
+    let RowChange::Put(row) = change else { return };
     on_operator_row(node, &row);
 }
 
--- a/kingcupbayd/src/registered/listen.rs
+++ b/kingcupbayd/src/registered/listen.rs
@@ -7,8 +7,8 @@
     deployment::readers,
     time::{Instant, Span},
     wire::{
-        reading::{Changed, Reading, Table, What},
-        tally::Tally,
+        read_position::{ChangeKind, ReadPosition, Table, TableChange},
+        usage::UsageReport,
     },
 };
 use slog::info;
@@ -31,7 +31,7 @@
 
     /// What the next tally tells others of this daemon's own reads. Those of listeners
     /// are not told: at a start they read all, and all at once.
-    pub(crate) fn own_readings(&self, now: Instant) -> BTreeMap<Table, Reading> {
+    pub(crate) fn own_readings(&self, now: Instant) -> BTreeMap<Table, ReadPosition> {
         match self.is_reader() {
             true => self.readings.borrow_mut().tell(now),
             false => BTreeMap::new(),
@@ -49,8 +49,8 @@
     }
 
     /// Takes over what another entry has read.
-    pub(crate) fn on_readings(&self, now: Instant, tally: &mut Tally) {
-        for (table, reading) in std::mem::take(&mut tally.readings) {
+    pub(crate) fn on_readings(&self, now: Instant, tally: &mut UsageReport) {
+        for (table, reading) in std::mem::take(&mut tally.positions) {
             let version = reading.version;
             let taken = self.readings.borrow_mut().on_reading(now, table, reading);
             let Some(changes) = taken else {
@@ -68,13 +68,13 @@
         }
     }
 
-    fn log_told(&self, change: &Changed, peer: &str, read: u64) {
-        let (event, name) = match &change.what {
-            What::Upstream(row) if row.leaving => ("upstream_leaves", &row.id),
-            What::Upstream(row) => ("upstream", &row.id),
-            What::UpstreamGone(id) => ("upstream_gone", id),
-            What::Entry(member) => ("entry", &member.host),
-            What::EntryGone(host) => ("entry_gone", host),
+    fn log_told(&self, change: &TableChange, peer: &str, read: u64) {
+        let (event, name) = match &change.kind {
+            ChangeKind::Upstream(row) if row.leaving => ("upstream_leaves", &row.id),
+            ChangeKind::Upstream(row) => ("upstream", &row.id),
+            ChangeKind::UpstreamGone(id) => ("upstream_gone", id),
+            ChangeKind::Entry(member) => ("entry", &member.host),
+            ChangeKind::EntryGone(host) => ("entry_gone", host),
         };
         info!(self.log, ""; "event" => event, "id" => name, "why" => "told",
             "version" => change.version, "read" => read, "peer" => peer);
--- a/kingcupbayd/src/registered/start.rs
+++ b/kingcupbayd/src/registered/start.rs
@@ -8,9 +8,9 @@
     config::model::Role,
     time::Span,
     wire::{
-        reading::Table,
+        read_position::Table,
         sidecar::{EngineLoadReport, LOAD_REPORT_PATH, PERMIT_PATH, RELEASE_PATH, REPLICA_PATH},
-        tally::{ROWS_PATH, TALLY_PATH},
+        usage::{ROWS_PATH, USAGE_PATH},
     },
 };
 use slog::{Logger, info};
--- a/kingcupbayd/src/registered/store.rs
+++ b/kingcupbayd/src/registered/store.rs
@@ -6,7 +6,7 @@
 use kingcupbay_core::{
     deployment::waits::ANSWER,
     time::{Instant, Span},
-    wire::rows::{Page, Txn, TxnAnswer},
+    wire::rows::{RowPage, Txn, TxnAnswer},
 };
 use kingcupbay_platform::{Call, DecodeError, store as encode};
 use prometheus::IntCounterVec;
@@ -68,7 +68,7 @@
     }
 
     /// Rows of `table` from the key `from` on.
-    pub(crate) async fn read(&self, table: &str, from: &str) -> Result<Page, StoreError> {
+    pub(crate) async fn read(&self, table: &str, from: &str) -> Result<RowPage, StoreError> {
         self.calls.with_label_values(&["read", table]).inc();
         let answer = self.call(&encode::read(table, from), ANSWER).await?;
         Ok(encode::page(&answer.body)?)
@@ -81,7 +81,7 @@
         table: &str,
         after: u64,
         wait: Span,
-    ) -> Result<Page, StoreError> {
+    ) -> Result<RowPage, StoreError> {
         self.calls.with_label_values(&["feed", table]).inc();
         let answer = self.call(&encode::feed(table, after, wait), wait + ANSWER).await?;
         Ok(encode::page(&answer.body)?)
--- a/kingcupbayd/src/registered/tallies.rs
+++ b/kingcupbayd/src/registered/tallies.rs
@@ -7,7 +7,7 @@
 use kingcupbay_core::{
     config::model::Role,
     time::{Instant, Span},
-    wire::tally::{TALLY_PATH, Tally},
+    wire::usage::{USAGE_PATH, UsageReport},
 };
 use slog::{info, warn};
 
@@ -42,7 +42,7 @@
         }
         let mut tally = gateway.allowance.borrow_mut().tally(now, number);
         tally.left = gateway.node.catalogue.borrow_mut().departures(now, tally.whole);
-        tally.readings = gateway.node.own_readings(now);
+        tally.positions = gateway.node.own_readings(now);
         let body = rmp_serde::to_vec(&tally).expect("a tally has only plain fields");
         let body = Bytes::from(body);
         for peer in peers {
@@ -57,7 +57,7 @@
 
 /// Takes another entry's tally.
 pub(crate) async fn handle(gateway: Rc<Gateway>, mut request: Request) -> Response<BoxBody> {
-    let mut tally = match message::read::<Tally>(&gateway.node.log, &mut request).await {
+    let mut tally = match message::read::<UsageReport>(&gateway.node.log, &mut request).await {
         Ok(tally) => tally,
         Err(answer) => return answer,
     };
@@ -81,7 +81,7 @@
 }
 
 /// Takes over which upstreams another entry saw leave.
-fn take_departures(node: &Node, now: Instant, tally: &Tally) {
+fn take_departures(node: &Node, now: Instant, tally: &UsageReport) {
     for (id, &version) in &tally.left {
         if node.catalogue.borrow_mut().on_left(now, id, version) {
             info!(node.log, ""; "event" => "upstream_gone", "id" => id, "why" => "told",
@@ -110,7 +110,7 @@
 }
 
 async fn tell(gateway: Rc<Gateway>, peer: SocketAddr, body: Bytes) {
-    let called = gateway.node.pool.call(peer, Method::POST, TALLY_PATH, &body, ANSWER).await;
+    let called = gateway.node.pool.call(peer, Method::POST, USAGE_PATH, &body, ANSWER).await;
     let failed = match &called {
         Ok(answer) => !matches!(answer.status, 202 | 204),
         Err(_) => true,
--- a/kingcupbayd/tests/common/mod.rs
+++ b/kingcupbayd/tests/common/mod.rs
@@ -21,7 +21,7 @@
         patch::Patch,
     },
     id::{Name, RequestId},
-    wire::admin::Taken,
+    wire::admin::PatchStored,
 };
 use kingcupbay_standin::Control;
 use serde_json::{Value, json};
@@ -294,7 +294,7 @@
         };
         let (status, body) = post_patch(process, &patch).await;
         match status {
-            200 => return serde_json::from_value::<Taken>(body).unwrap().number.0,
+            200 => return serde_json::from_value::<PatchStored>(body).unwrap().number.0,
             409 => {}
             _ => panic!("patch refused with {status}: {body}"),
         }
--- a/kingcupbayd/tests/fleet.rs
+++ b/kingcupbayd/tests/fleet.rs
@@ -13,7 +13,7 @@
 use kingcupbay_core::{
     config::{change::Change, model::Config, patch::Patch},
     id::RequestId,
-    wire::admin::{Refused, Taken},
+    wire::admin::{PatchRefused, PatchStored},
 };
 use kingcupbay_standin::{Fault, Rule};
 
@@ -91,7 +91,7 @@
     let patch = patch(&fleet, 1).await;
     for _ in 0..2 {
         let (status, body) = post_patch(&fleet.entries[0], &patch).await;
-        let taken: Taken = serde_json::from_value(body).unwrap();
+        let taken: PatchStored = serde_json::from_value(body).unwrap();
         assert_eq!((status, taken.number, taken.acknowledged), (200, patch.against.next(), true));
     }
 }
@@ -107,7 +107,7 @@
     let mut answers = [answers.0, answers.1];
     answers.sort_by_key(|(status, _)| *status);
     let [(200, _), (409, refused)] = answers else { panic!("{answers:?}") };
-    let refused: Refused = serde_json::from_value(refused).unwrap();
+    let refused: PatchRefused = serde_json::from_value(refused).unwrap();
     let current = one.against.next();
     let stale = kingcupbay_core::config::patch::PatchError::Stale { against: one.against, current };
     assert_eq!(refused.error, stale);
@@ -121,10 +121,10 @@
     fleet.upstreams.iter().for_each(|upstream| upstream.signal("-STOP"));
     let patch = patch(&fleet, 1).await;
     let (_, body) = post_patch(&fleet.entries[0], &patch).await;
-    assert!(!serde_json::from_value::<Taken>(body).unwrap().acknowledged);
+    assert!(!serde_json::from_value::<PatchStored>(body).unwrap().acknowledged);
     fleet.upstreams.iter().for_each(|upstream| upstream.signal("-CONT"));
     let (_, body) = post_patch(&fleet.entries[0], &patch).await;
-    assert!(serde_json::from_value::<Taken>(body).unwrap().acknowledged);
+    assert!(serde_json::from_value::<PatchStored>(body).unwrap().acknowledged);
 }
 
 /// A host dies and another takes its name under another address. The fleet
@@ -138,5 +138,5 @@
     let patch = patch(&fleet, 1).await;
     let (status, body) = post_patch(&successor, &patch).await;
     assert_eq!(status, 200, "{body}");
-    assert!(serde_json::from_value::<Taken>(body).unwrap().acknowledged);
+    assert!(serde_json::from_value::<PatchStored>(body).unwrap().acknowledged);
 }
--- a/kingcupbayd/tests/listen.rs
+++ b/kingcupbayd/tests/listen.rs
@@ -17,8 +17,8 @@
     id::Number,
     time::Span,
     wire::{
-        reading::{Changed, Reading, Table, What},
-        tally::Tally,
+        read_position::{ChangeKind, ReadPosition, Table, TableChange},
+        usage::UsageReport,
     },
 };
 use kingcupbay_standin::{Fault, FaultOrder, Rule, Runner, RunnerSettings};
@@ -43,26 +43,26 @@
     fleet.store.put("op", "round", &json!({}))
 }
 
-fn reading(version: u64, since: u64, changes: Vec<Changed>) -> Reading {
-    Reading { version, age: Span::ZERO, since, changes }
+fn reading(version: u64, since: u64, changes: Vec<TableChange>) -> ReadPosition {
+    ReadPosition { version, age: Span::ZERO, since, changes }
 }
 
 /// The first reader tells `readings`, the others that they are there.
-async fn tell(fleet: &Fleet, readings: BTreeMap<Table, Reading>) {
+async fn tell(fleet: &Fleet, readings: BTreeMap<Table, ReadPosition>) {
     for host in READERS {
         let told = if host == READERS[0] { readings.clone() } else { BTreeMap::new() };
         send(fleet, host, told).await;
     }
 }
 
-async fn send(fleet: &Fleet, host: &str, readings: BTreeMap<Table, Reading>) {
-    let tally = Tally {
+async fn send(fleet: &Fleet, host: &str, readings: BTreeMap<Table, ReadPosition>) {
+    let tally = UsageReport {
         host: host.to_owned(),
         incarnation: 0,
         number: Number(1),
         whole: true,
-        readings,
-        ..Tally::default()
+        positions: readings,
+        ..UsageReport::default()
     };
     let url = format!("http://{}/tally", fleet.entry.address("peers"));
     let told = client().post(&url).send_body(rmp_serde::to_vec(&tally).unwrap()).await.unwrap();
@@ -114,10 +114,11 @@
     until("the list", async || (status(&fleet, "a0").await == 503).then_some(())).await;
     tell_until(&mut fleet, &[Table::Upstreams], 100, "table=servers event=listens").await;
     let before = feeds(&fleet, "servers").await;
-    let joined = Changed { version: 105, what: What::Upstream(desk("desk-1", &upstream, 105)) };
+    let joined =
+        TableChange { version: 105, kind: ChangeKind::Upstream(desk("desk-1", &upstream, 105)) };
     tell(&fleet, [(Table::Upstreams, reading(110, 100, vec![joined]))].into()).await;
     assert_eq!(status(&fleet, "a1").await, 200);
-    let left = Changed { version: 115, what: What::UpstreamGone("desk-1".to_owned()) };
+    let left = TableChange { version: 115, kind: ChangeKind::UpstreamGone("desk-1".to_owned()) };
     tell(&fleet, [(Table::Upstreams, reading(120, 110, vec![left]))].into()).await;
     assert_eq!(status(&fleet, "a2").await, 503);
     assert_eq!(feeds(&fleet, "servers").await, before);
--- a/kingcupbayd/tests/news.rs
+++ b/kingcupbayd/tests/news.rs
@@ -11,7 +11,7 @@
     registered::{ANY, Fleet, KEY, config, entry},
     until,
 };
-use kingcupbay_core::{id::Number, wire::tally::Tally};
+use kingcupbay_core::{id::Number, wire::usage::UsageReport};
 use kingcupbay_standin::{Fault, FaultOrder, Registry, Rule, Runner, RunnerSettings};
 use serde_json::json;
 
@@ -113,12 +113,12 @@
     assert_eq!(fleet.ask_with("GET", "/seats/today", "a1", "new-key", &[]).await.status, 401);
     // Nobody answers there.
     list_at(&fleet, "entry-9", "127.0.0.1:1");
-    let tally = Tally {
+    let tally = UsageReport {
         host: "entry-9".to_owned(),
         incarnation: 1,
         number: Number(9),
         whole: true,
-        ..Tally::default()
+        ..UsageReport::default()
     };
     let url = format!("http://{}/tally", fleet.entry.address("peers"));
     until("the tally", async || {
