--- a/kingcupbay/src/client.rs
+++ b/kingcupbay/src/client.rs
@@ -13,7 +13,7 @@
         patch::{Patch, PatchError},
     },
     id::Number,
-    wire::admin::{self, History, Outcome, Refused, Taken, Undecided},
+    wire::admin::{self, History, PatchRefused, PatchStored, PatchUndecided, UndecidedOutcome},
 };
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -55,7 +55,7 @@
 /// Result of sending a patch to one daemon.
 enum PostResult {
     /// The daemon gave a final answer.
-    Final(Result<Taken, PatchError>),
+    Final(Result<PatchStored, PatchError>),
     /// The daemon wrote nothing to the table.
     NotTaken(String),
     /// The patch may or may not be in the table.
@@ -141,7 +141,7 @@
     /// [`Error::OutcomeUnknown`] if the patch may be in the table,
     /// [`Error::Unreachable`] if no daemon wrote it, and otherwise the reason for
     /// which it was refused.
-    pub(crate) async fn post_patch(&self, patch: &Patch) -> Result<Taken, Error> {
+    pub(crate) async fn post_patch(&self, patch: &Patch) -> Result<PatchStored, Error> {
         let body = serde_json::to_vec(patch).expect("a patch is JSON");
         let mut attempts = Vec::new();
         let mut unknown = false;
@@ -181,7 +181,7 @@
         against: Number,
         current: Number,
         mut attempts: Vec<String>,
-    ) -> Result<Taken, Error> {
+    ) -> Result<PatchStored, Error> {
         let history = match self.read_history(against).await {
             Ok(history) => history,
             Err(error) => {
@@ -193,7 +193,7 @@
             Some(entry) if entry.patch.id == patch.id => {
                 // The history shows that the table holds the patch, but not that a
                 // majority holds it.
-                Ok(Taken { number: entry.number, acknowledged: false })
+                Ok(PatchStored { number: entry.number, acknowledged: false })
             }
             Some(_) => Err(Error::Stale { against, current }),
             None => Err(Error::OutcomeUnknown { id: patch.id, attempts }),
@@ -208,7 +208,7 @@
                 Err(ExchangeError::AnswerLost(problem)) => return PostResult::Unknown(problem),
             };
         if status == StatusCode::OK
-            && let Ok(taken) = serde_json::from_slice::<Taken>(&body)
+            && let Ok(taken) = serde_json::from_slice::<PatchStored>(&body)
         {
             return match taken.acknowledged {
                 true => PostResult::Final(Ok(taken)),
@@ -218,12 +218,16 @@
                 )),
             };
         }
-        if let Ok(refused) = serde_json::from_slice::<Refused>(&body) {
+        if let Ok(refused) = serde_json::from_slice::<PatchRefused>(&body) {
             return PostResult::Final(Err(refused.error));
         }
-        match serde_json::from_slice::<Undecided>(&body) {
-            Ok(Undecided { outcome: Outcome::NotTaken, message }) => PostResult::NotTaken(message),
-            Ok(Undecided { outcome: Outcome::Unknown, message }) => PostResult::Unknown(message),
+        match serde_json::from_slice::<PatchUndecided>(&body) {
+            Ok(PatchUndecided { outcome: UndecidedOutcome::NotTaken, message }) => {
+                PostResult::NotTaken(message)
+            }
+            Ok(PatchUndecided { outcome: UndecidedOutcome::Unknown, message }) => {
+                PostResult::Unknown(message)
+            }
             // An answer that cannot be parsed says nothing about the patch.
             Err(_) => PostResult::Unknown(format!("{status}: {}", String::from_utf8_lossy(&body))),
         }
--- a/kingcupbay/src/error.rs
+++ b/kingcupbay/src/error.rs
@@ -4,7 +4,7 @@
 
 use kingcupbay_core::{
     config::{change::Refusal, patch::PatchError},
-    declare::model::Place,
+    declare::model::Location,
     id::Number,
     ini::Mistake,
 };
@@ -21,7 +21,7 @@
     #[error("refused: {}{refusal}", format_place(place))]
     Refused {
         /// Place of its declaration, if it comes from a file.
-        place: Option<Place>,
+        place: Option<Location>,
         /// Reason for the refusal.
         refusal: Refusal,
     },
@@ -105,6 +105,6 @@
     items.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
-fn format_place(place: &Option<Place>) -> String {
+fn format_place(place: &Option<Location>) -> String {
     place.as_ref().map(|place| format!("{place}: ")).unwrap_or_default()
 }
--- a/kingcupbay/tests/admin/mod.rs
+++ b/kingcupbay/tests/admin/mod.rs
@@ -15,7 +15,9 @@
         patch::{Patch, PatchError},
     },
     id::Number,
-    wire::admin::{History, Numbered, Outcome, Refused, Taken, Undecided},
+    wire::admin::{
+        History, NumberedPatch, PatchRefused, PatchStored, PatchUndecided, UndecidedOutcome,
+    },
 };
 use serde::Serialize;
 
@@ -45,7 +47,7 @@
 #[derive(Default)]
 pub(crate) struct State {
     pub(crate) config: Config,
-    pub(crate) history: Vec<Numbered>,
+    pub(crate) history: Vec<NumberedPatch>,
     pub(crate) faults: VecDeque<Fault>,
     pub(crate) posted: Vec<Patch>,
     /// Whether the ids of taken patches are no longer recognised.
@@ -175,31 +177,31 @@
             take_patch(state, Patch { changes: vec![], ..other }, true);
             None
         }
-        Some(Fault::NotTaken) => Some(answer_undecided(Outcome::NotTaken)),
-        Some(Fault::Unknown) => Some(answer_undecided(Outcome::Unknown)),
+        Some(Fault::NotTaken) => Some(answer_undecided(UndecidedOutcome::NotTaken)),
+        Some(Fault::Unknown) => Some(answer_undecided(UndecidedOutcome::Unknown)),
     }
 }
 
 /// Answers that the patch was not taken or that its outcome is unknown.
-fn answer_undecided(outcome: Outcome) -> (u16, Vec<u8>) {
-    (503, to_json(&Undecided { outcome, message: "the table is down".into() }))
+fn answer_undecided(outcome: UndecidedOutcome) -> (u16, Vec<u8>) {
+    (503, to_json(&PatchUndecided { outcome, message: "the table is down".into() }))
 }
 
 /// Takes a patch unless its id is recognised, and answers with its result.
 fn take_patch(state: &mut State, patch: Patch, acknowledged: bool) -> (u16, Vec<u8>) {
     let known = state.history.iter().find(|entry| entry.patch.id == patch.id);
     if let Some(known) = known.filter(|_| !state.forgotten) {
-        return (200, to_json(&Taken { number: known.number, acknowledged }));
+        return (200, to_json(&PatchStored { number: known.number, acknowledged }));
     }
     match state.config.patched(&patch) {
         Ok(config) => {
             let number: Number = config.number;
             state.config = config;
-            state.history.push(Numbered { number, patch });
-            (200, to_json(&Taken { number, acknowledged }))
+            state.history.push(NumberedPatch { number, patch });
+            (200, to_json(&PatchStored { number, acknowledged }))
         }
-        Err(error @ PatchError::Stale { .. }) => (409, to_json(&Refused { error })),
-        Err(error) => (422, to_json(&Refused { error })),
+        Err(error @ PatchError::Stale { .. }) => (409, to_json(&PatchRefused { error })),
+        Err(error) => (422, to_json(&PatchRefused { error })),
     }
 }
 
--- a/kingcupbay_core/src/admission/load_report.rs
+++ b/kingcupbay_core/src/admission/load_report.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     time::{Instant, Span},
-    wire::sidecar::Pressure,
+    wire::sidecar::EngineLoadReport,
 };
 
 /// Interval of reports without changes, so that a silent sidecar is detected: an
@@ -24,7 +24,7 @@
 /// State of the load reports sent to one entry.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReporter {
-    last: Option<Pressure>,
+    last: Option<EngineLoadReport>,
     sent_at: Instant,
     /// Whether the entry has received the adapters of `last`.
     acknowledged: bool,
@@ -33,8 +33,8 @@
 impl LoadReporter {
     /// Returns the report to send now, if any. It includes the resident adapters only
     /// if the entry lacks them.
-    pub fn next(&mut self, now: Instant, report: &Pressure) -> Option<Pressure> {
-        let same_adapters = self.last.as_ref().is_some_and(|last| last.held == report.held);
+    pub fn next(&mut self, now: Instant, report: &EngineLoadReport) -> Option<EngineLoadReport> {
+        let same_adapters = self.last.as_ref().is_some_and(|last| last.resident == report.resident);
         let known = self.acknowledged && same_adapters;
         let changed = self.last.as_ref().is_none_or(|last| load_changed(last, report));
         if known && !changed && now.since(self.sent_at) < HEARTBEAT_INTERVAL {
@@ -43,8 +43,8 @@
         self.sent_at = now;
         self.acknowledged = known;
         self.last = Some(report.clone());
-        let held = if known { None } else { report.held.clone() };
-        Some(Pressure { held, ..report.clone() })
+        let held = if known { None } else { report.resident.clone() };
+        Some(EngineLoadReport { resident: held, ..report.clone() })
     }
 
     /// Applies the entry's answer to the report sent at `at`: whether it knows the
@@ -56,8 +56,8 @@
     }
 }
 
-fn load_changed(last: &Pressure, now: &Pressure) -> bool {
-    let load = |pressure: &Pressure| pressure.running + pressure.waiting;
+fn load_changed(last: &EngineLoadReport, now: &EngineLoadReport) -> bool {
+    let load = |pressure: &EngineLoadReport| pressure.running + pressure.waiting;
     let change = load(last).abs_diff(load(now)) * 100;
     last.open != now.open
         || change >= now.slots.max(1) * LOAD_CHANGE_PERCENT
--- a/kingcupbay_core/src/gossip/mod.rs
+++ b/kingcupbay_core/src/gossip/mod.rs
@@ -386,7 +386,7 @@
             .filter(|id| self.standing.confirmed_recently(*id, now))
             .collect();
         let any = recent.is_empty() || self.random.below(ANY_MEMBER_PERIOD) == 0;
-        self.random.pick(if any { others } else { recent }, count)
+        self.random.sample(if any { others } else { recent }, count)
     }
 
     fn is_due(&self, last: Option<Instant>, period: Span, now: Instant) -> bool {
