--- a/kingcupbay_core/src/admission/mod.rs
+++ b/kingcupbay_core/src/admission/mod.rs
@@ -33,7 +33,7 @@
 use crate::{
     deployment::model::{AdapterName, Engine},
     time::{Instant, Span},
-    wire::sidecar::{Pressure, Refusal, Verdict, Want},
+    wire::sidecar::{EngineLoadReport, PermitRequest, Refusal, Verdict},
 };
 
 use self::{
@@ -136,7 +136,7 @@
         &mut self,
         now: Instant,
         ticket: Ticket,
-        request: Want,
+        request: PermitRequest,
     ) -> Vec<Action> {
         if let Some(newest) = request.newest {
             self.on_version(request.name.clone(), newest);
@@ -146,7 +146,7 @@
             return vec![refuse(ticket, refusal, after)];
         }
         let estimate = self.estimate_wait(now, &request);
-        if estimate > request.patience {
+        if estimate > request.max_wait {
             // The delay is the time to serve the whole current queue. A shorter
             // one would bring all refused callers back together, and most
             // callers retry only once.
@@ -255,15 +255,15 @@
     }
 
     /// Returns the load report for entries, with the resident adapters.
-    pub fn load_report(&self) -> Pressure {
-        Pressure {
+    pub fn load_report(&self) -> EngineLoadReport {
+        EngineLoadReport {
             engine: None,
             running: self.running.len() as u32,
             waiting: self.queue.len() as u32,
             slots: self.spec.slots,
             delay: self.prefill_wait(self.running.unread_tokens() + self.queue.prompt_tokens()),
             open: self.report.as_ref().is_some_and(|report| !report.leaving),
-            held: Some(
+            resident: Some(
                 self.report.as_ref().map_or_else(Vec::new, |report| report.resident.clone()),
             ),
         }
--- a/kingcupbay_core/src/allowance.rs
+++ b/kingcupbay_core/src/allowance.rs
@@ -17,7 +17,7 @@
     deployment::model::Organisation,
     id::Number,
     time::{Instant, Span},
-    wire::tally::{Tally, Use},
+    wire::usage::{OrganisationUsage, UsageReport},
 };
 
 /// Shortest time between two usage reports. Between reports, entries may spend the
@@ -107,7 +107,7 @@
 struct Peer {
     incarnation: u64,
     received: Instant,
-    uses: BTreeMap<String, Use>,
+    uses: BTreeMap<String, OrganisationUsage>,
 }
 
 /// Rate limits of all organisations at one entry.
@@ -121,7 +121,7 @@
     /// this entry started.
     peers: BTreeMap<String, Option<Peer>>,
     /// Last reported use of each organisation.
-    reported: BTreeMap<String, Use>,
+    reported: BTreeMap<String, OrganisationUsage>,
     /// Usage reports until the next full one.
     until_full: u32,
     /// Whether another entry was silent at the last check.
@@ -239,7 +239,7 @@
 
     /// Builds the next usage report for the other entries. One in `REPORTS_PER_FULL` is
     /// full, and the others name only what has changed.
-    pub fn usage_report(&mut self, now: Instant, number: Number) -> Tally {
+    pub fn usage_report(&mut self, now: Instant, number: Number) -> UsageReport {
         let peer_silent = self.check_peers(now);
         let full = self.until_full == 0;
         self.until_full = if full { REPORTS_PER_FULL - 1 } else { self.until_full - 1 };
@@ -257,12 +257,12 @@
             if !peer_silent {
                 account.reported_demand = demand;
             }
-            uses.insert(name.clone(), Use { spent, demand, level });
+            uses.insert(name.clone(), OrganisationUsage { spent, demand, level });
         }
         self.reported.extend(uses.iter().map(|(name, used)| (name.clone(), *used)));
         let host = self.host.clone();
         let incarnation = self.incarnation;
-        Tally { host, incarnation, number, whole: full, uses, ..Tally::default() }
+        UsageReport { host, incarnation, number, whole: full, uses, ..UsageReport::default() }
     }
 
     /// Makes the next usage report a full one, as another entry has received none.
@@ -275,7 +275,7 @@
     /// Returns false, and applies nothing, if the report is partial and this entry has
     /// no full one since the other's start. Without that it cannot compute what was
     /// spent since.
-    pub fn on_usage_report(&mut self, now: Instant, report: Tally) -> bool {
+    pub fn on_usage_report(&mut self, now: Instant, report: UsageReport) -> bool {
         let starting = now.since(self.started) < STARTUP;
         let before = self.peers.get(&report.host).cloned().flatten();
         let same = before.as_ref().is_some_and(|peer| peer.incarnation == report.incarnation);
--- a/kingcupbay_core/tests/read_positions.rs
+++ b/kingcupbay_core/tests/read_positions.rs
@@ -8,7 +8,7 @@
     config::model::Role,
     deployment::{catalogue::Member, read_positions::ReadPositions, readers::is_reader},
     time::{Instant, Span},
-    wire::reading::{Changed, Reading, Table, What},
+    wire::read_position::{ChangeKind, ReadPosition, Table, TableChange},
 };
 
 const UPSTREAMS: Table = Table::Upstreams;
@@ -17,8 +17,8 @@
     Instant::from_micros(5_000_000 + millis * 1_000)
 }
 
-fn gone(version: u64) -> Changed {
-    Changed { version, what: What::UpstreamGone(format!("desk-{version}")) }
+fn gone(version: u64) -> TableChange {
+    TableChange { version, kind: ChangeKind::UpstreamGone(format!("desk-{version}")) }
 }
 
 /// A reader that knows the upstreams as of `version`.
@@ -28,11 +28,11 @@
     positions
 }
 
-fn report(positions: &mut ReadPositions, now: Instant) -> Reading {
+fn report(positions: &mut ReadPositions, now: Instant) -> ReadPosition {
     positions.report(now).remove(&UPSTREAMS).unwrap()
 }
 
-fn versions(changes: &[Changed]) -> Vec<u64> {
+fn versions(changes: &[TableChange]) -> Vec<u64> {
     changes.iter().map(|change| change.version).collect()
 }
 
@@ -146,7 +146,7 @@
 #[test]
 fn a_stale_read_is_not_reported() {
     let mut reader = reader(10);
-    let newer = Reading { version: 30, age: Span::ZERO, since: 10, changes: Vec::new() };
+    let newer = ReadPosition { version: 30, age: Span::ZERO, since: 10, changes: Vec::new() };
     assert!(reader.on_position(at(100), UPSTREAMS, newer).is_some());
     reader.on_page(at(200), UPSTREAMS, 20, []);
     let reading = report(&mut reader, at(300));
@@ -247,7 +247,7 @@
 
 fn read(now: Instant, entry: &mut (ReadPositions, Vec<u64>), store: &[u64], newest: u64) {
     let known = entry.0.known(UPSTREAMS);
-    let changes: Vec<Changed> =
+    let changes: Vec<TableChange> =
         store.iter().filter(|&&seen| seen > known).map(|&seen| gone(seen)).collect();
     entry.1.extend(versions(&changes));
     entry.0.on_page(now, UPSTREAMS, newest, changes);
@@ -256,7 +256,7 @@
 fn receive(
     now: Instant,
     entry: &mut (ReadPositions, Vec<u64>),
-    reported: &BTreeMap<Table, Reading>,
+    reported: &BTreeMap<Table, ReadPosition>,
 ) {
     for (&table, reading) in reported {
         if let Some(changes) = entry.0.on_position(now, table, reading.clone()) {
--- a/kingcupbayd/src/share/epoch.rs
+++ b/kingcupbayd/src/share/epoch.rs
@@ -82,7 +82,7 @@
     /// joined and is not known here yet has reported for a later epoch, so its
     /// row stays.
     async fn remove_stale_rows(&self, rows: &[Row]) -> Result<(), TableError> {
-        let entries = self.fleet.config().entries();
+        let entries = self.fleet.config().entry_incarnations();
         let epoch = self.core.borrow().epoch();
         let gone = |row: &&Row| {
             let report: Report = decode(row);
