--- a/kingcupbayd/src/admin/mod.rs
+++ b/kingcupbayd/src/admin/mod.rs
@@ -93,7 +93,7 @@
         zone: settings.zone.to_string(),
         role: settings.role,
         phase: format!("{:?}", daemon.drain.phase()).to_lowercase(),
-        standing: daemon.fleet.holds(crate::clock::now()),
+        standing: daemon.fleet.may_act(crate::clock::now()),
         number: config.number,
         members: config.members.len(),
         connections: daemon.drain.open(),
--- a/kingcupbayd/src/entry/admission.rs
+++ b/kingcupbayd/src/entry/admission.rs
@@ -34,7 +34,7 @@
         return Err(failure.after(STANDING_RETRY));
     }
     // A host cut off from the fleet cannot know whether a key was withdrawn.
-    if !entry.fleet.holds(clock::now()) {
+    if !entry.fleet.may_act(clock::now()) {
         let message = "this host cannot confirm its configuration";
         return Err(Failure::not_run(Code::NoStanding, message).after(STANDING_RETRY));
     }
--- a/kingcupbayd/src/entry/answer.rs
+++ b/kingcupbayd/src/entry/answer.rs
@@ -92,7 +92,7 @@
     let prompt_tokens = ask.prompt.tokens();
     let tokens = prompt_tokens + u64::from(max_tokens);
     let reservation = entry.shares.reserve(caller.organisation, tokens).await?;
-    let id = new_request();
+    let id = new_request_id();
     let account = Account::open(id, caller.clone(), model.clone(), &entry);
     let Ask { prompt, sampling, stream, .. } = ask;
     let work = Work::Generate { version, prompt, max_tokens, offset: 0, sampling };
@@ -113,7 +113,7 @@
 }
 
 /// A random identity.
-pub(crate) fn new_request() -> RequestId {
+pub(crate) fn new_request_id() -> RequestId {
     let mut id = [0; 16];
     getrandom::fill(&mut id).expect("the system's random source works");
     RequestId(id)
--- a/kingcupbayd/src/entry/call.rs
+++ b/kingcupbayd/src/entry/call.rs
@@ -11,7 +11,7 @@
 use super::{
     Entry,
     admission::{self, Caller},
-    answer::new_request,
+    answer::new_request_id,
     head,
     outcome::{Account, Ending, Refusal},
     relay::{Job, Relay, Step, Target},
@@ -78,7 +78,7 @@
     let target = Target::Service { name: row.service.clone(), once: row.once };
     let payload = request.take_payload();
     let body = body::read(payload, callers.body_limit, callers.body_timeout).await?.to_vec();
-    let id = new_request();
+    let id = new_request_id();
     let account = Account::open(id, caller.clone(), name.to_owned(), &entry);
     let work = Work::Call { route, path: rest.to_owned(), idempotency, body };
     let job = Job { request: id, caller: caller.clone(), deadline, target, work };
--- a/kingcupbayd/src/entry/mod.rs
+++ b/kingcupbayd/src/entry/mod.rs
@@ -33,7 +33,7 @@
 mod relay;
 mod route;
 
-pub(crate) use answer::new_request;
+pub(crate) use answer::new_request_id;
 
 /// State of an entry.
 pub(crate) struct Entry {
@@ -76,7 +76,7 @@
     /// Whether the balancer may send requests here.
     pub(crate) fn ready(&self) -> bool {
         let now = clock::now();
-        self.drain.phase() == Phase::Serving && self.fleet.holds(now) && self.shares.ready(now)
+        self.drain.phase() == Phase::Serving && self.fleet.may_act(now) && self.shares.ready(now)
     }
 
     /// This entry's shares of rates.
@@ -91,8 +91,8 @@
 }
 
 /// Keeps what an entry knows of the upstreams fresh until the daemon ends.
-pub(crate) async fn keep(entry: Rc<Entry>) {
-    route::keep(entry).await;
+pub(crate) async fn refresh_periodically(entry: Rc<Entry>) {
+    route::refresh_periodically(entry).await;
 }
 
 /// Answers one request of a caller.
--- a/kingcupbayd/src/entry/route.rs
+++ b/kingcupbayd/src/entry/route.rs
@@ -168,7 +168,7 @@
 }
 
 /// Keeps the router's view of the upstreams fresh until the daemon ends.
-pub(super) async fn keep(entry: Rc<super::Entry>) {
+pub(super) async fn refresh_periodically(entry: Rc<super::Entry>) {
     loop {
         entry.routes.refresh();
         entry.routes.take_reports();
--- a/kingcupbayd/src/fleet/mod.rs
+++ b/kingcupbayd/src/fleet/mod.rs
@@ -108,7 +108,7 @@
 
     /// Whether this daemon may act on what it knows. Asked at each use, since
     /// the process may have been suspended since the last answer.
-    pub(crate) fn holds(&self, now: Instant) -> bool {
+    pub(crate) fn may_act(&self, now: Instant) -> bool {
         self.gossip.borrow().standing().may_act(now)
     }
 
@@ -170,7 +170,7 @@
     loop {
         let actions = fleet.gossip.borrow_mut().tick(clock::now());
         fleet.act(actions);
-        fleet.metrics.standing.set(i64::from(fleet.holds(clock::now())));
+        fleet.metrics.standing.set(i64::from(fleet.may_act(clock::now())));
         tokio::time::sleep(pause.into()).await;
     }
 }
--- a/kingcupbayd/src/lib.rs
+++ b/kingcupbayd/src/lib.rs
@@ -79,7 +79,7 @@
             RoleState::Entry(entry) => entry.ready(),
             RoleState::Upstream(_) => true,
         };
-        serving && role && *self.joined.borrow() && self.fleet.holds(clock::now())
+        serving && role && *self.joined.borrow() && self.fleet.may_act(clock::now())
     }
 
     /// The role's part of the state dump.
--- a/kingcupbayd/src/share/mod.rs
+++ b/kingcupbayd/src/share/mod.rs
@@ -92,7 +92,7 @@
             self.follow(now);
             let arrived = self.arrived.notified();
             // Asked here and not kept: the process may be paused at an await.
-            let standing = self.fleet.holds(now);
+            let standing = self.fleet.may_act(now);
             let verdict = self.core.borrow_mut().admit(now, since, organisation, tokens, standing);
             let until = match verdict {
                 Verdict::Granted(inner) => {
--- a/kingcupbayd/src/start.rs
+++ b/kingcupbayd/src/start.rs
@@ -65,10 +65,10 @@
     match &daemon.role {
         RoleState::Entry(entry) => {
             actix_rt::spawn(share::keep(entry.shares().clone()));
-            drop(actix_rt::spawn(entry::keep(entry.clone())));
+            drop(actix_rt::spawn(entry::refresh_periodically(entry.clone())));
         }
         RoleState::Upstream(upstream) => {
-            drop(actix_rt::spawn(upstream.clone().keep_runners()));
+            drop(actix_rt::spawn(upstream.clone().maintain_runners()));
         }
     }
     let mut servers = Vec::new();
@@ -148,7 +148,7 @@
         }
         if read.is_ok() {
             let patch = Patch {
-                id: entry::new_request(),
+                id: entry::new_request_id(),
                 against: daemon.fleet.config().number,
                 author: daemon.settings.daemon.host.to_string(),
                 changes: vec![change.clone()],
--- a/kingcupbayd/src/upstream/fence.rs
+++ b/kingcupbayd/src/upstream/fence.rs
@@ -17,7 +17,7 @@
 
 use super::Upstream;
 use crate::{
-    entry::new_request,
+    entry::new_request_id,
     fleet::{FRESHNESS, decode, encode},
     store::table::TableError,
 };
@@ -48,7 +48,7 @@
 
 /// Takes the next fencing number of `engine`, however long the table is away.
 pub(super) async fn acquire(upstream: &Rc<Upstream>, engine: &Name, checked: bool) -> u64 {
-    let attempt = new_request().to_string();
+    let attempt = new_request_id().to_string();
     loop {
         match take(upstream, engine, &attempt).await {
             Ok(Some(number)) => {
--- a/kingcupbayd/src/upstream/mod.rs
+++ b/kingcupbayd/src/upstream/mod.rs
@@ -96,7 +96,7 @@
 
     /// Starts the runners of the engines that the configuration gives to this
     /// host, before the first request for one comes.
-    pub(crate) async fn keep_runners(self: Rc<Upstream>) {
+    pub(crate) async fn maintain_runners(self: Rc<Upstream>) {
         actix_rt::spawn(report::keep(self.clone()));
         loop {
             let config = self.fleet.config();
--- a/kingcupbayd/src/upstream/once.rs
+++ b/kingcupbayd/src/upstream/once.rs
@@ -31,7 +31,7 @@
 use super::{Upstream, call, fence};
 use crate::{
     clock,
-    entry::new_request,
+    entry::new_request_id,
     http::{body, client::never_left},
     server::drain::Phase,
     store::table::TableError,
@@ -80,7 +80,7 @@
         digest: Digest::of(call.route, &call.path, &call.body),
         // Not the request's id: an entry may send one request to two
         // upstreams, and each must tell its own claim from the other's.
-        id: new_request(),
+        id: new_request_id(),
         claimer: upstream.settings.daemon.host.clone(),
         fence: Condition { key: fence::key(&call.row.name), revision: number },
     };
@@ -207,7 +207,7 @@
         let now = clock::now();
         now < self.call.deadline
             && upstream.drain.phase() != Phase::Closing
-            && upstream.fleet.holds(now)
+            && upstream.fleet.may_act(now)
             && upstream.own(self.call.upstream).is_ok()
     }
 
--- a/kingcupbayd/src/upstream/run.rs
+++ b/kingcupbayd/src/upstream/run.rs
@@ -356,7 +356,7 @@
     if upstream.drain.phase() == Phase::Closing {
         return Err(Failure::not_run(Code::Stopping, "this host is stopping"));
     }
-    if !upstream.fleet.catch_up(run.number).await || !upstream.fleet.holds(clock::now()) {
+    if !upstream.fleet.catch_up(run.number).await || !upstream.fleet.may_act(clock::now()) {
         let message = "the upstream's daemon cannot confirm its configuration";
         return Err(Failure::not_run(Code::NoStanding, message));
     }
--- a/kingcupbayd/src/upstream/runner/mod.rs
+++ b/kingcupbayd/src/upstream/runner/mod.rs
@@ -188,7 +188,7 @@
         state.refuse(expired);
         // Without standing nothing new begins: another daemon may own the
         // engine by now, or the configuration may have changed.
-        if !self.upstream.fleet.holds(now) {
+        if !self.upstream.fleet.may_act(now) {
             let refused = state.queue.close();
             state.refuse(refused);
             return;
--- a/kingcupbayd/src/upstream/runner/orders.rs
+++ b/kingcupbayd/src/upstream/runner/orders.rs
@@ -100,7 +100,7 @@
 async fn drop_unknown(runner: &Runner, report: &LoadReport) {
     let config = runner.upstream.fleet.config();
     let now = clock::now();
-    let owner = runner.upstream.fleet.holds(now);
+    let owner = runner.upstream.fleet.may_act(now);
     let fencing = runner.state.borrow().slots.as_ref().map(kingcupbay_core::slot::Slots::fencing);
     let Some(fencing) = fencing.filter(|_| owner) else { return };
     for name in report.loaded.iter().filter(|name| config.version_of(name).is_none()) {
