--- a/kingcupbayd/src/upstream/call.rs
+++ b/kingcupbayd/src/upstream/call.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services.
+//! Client of plain services.
 
 use std::rc::Rc;
 
@@ -10,16 +10,16 @@
     },
 };
 
-use super::{Upstream, once, run::check};
+use super::{Upstream, once, run::check_run};
 use crate::{
     clock,
     http::{body, client::never_left},
 };
 
-/// Longest answer of a service.
-pub(super) const ANSWER_LIMIT: usize = 4 << 20;
+/// Longest answer body of a service.
+pub(super) const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// Runs a call and tells how it ended.
+/// Runs a call and returns its final event.
 pub(super) async fn run(upstream: Rc<Upstream>, run: Run) -> RunEvent {
     match attempt(upstream, run).await {
         Ok(event) => event,
@@ -29,7 +29,7 @@
 
 async fn attempt(upstream: Rc<Upstream>, run: Run) -> Result<RunEvent, Failure> {
     let deadline = clock::now() + run.left;
-    let row = check(&upstream, &run).await?;
+    let row = check_run(&upstream, &run).await?;
     let Work::Call { route, path, idempotency, body } = run.work else {
         unreachable!("the order was matched")
     };
@@ -76,16 +76,16 @@
 ) -> Result<RunEvent, Failure> {
     let client = upstream.clients.get(&row.address);
     let sent = request(&client, row, path, idempotency).send_body(body).await;
-    let mut response = sent.map_err(|error| failed(&error))?;
+    let mut response = sent.map_err(|error| send_failure(&error))?;
     let status = response.status().as_u16();
-    let body = body::whole(&mut response, ANSWER_LIMIT).await.map_err(|error| Failure {
+    let body = body::whole(&mut response, MAX_ANSWER_BYTES).await.map_err(|error| Failure {
         ran: Ran::Ran,
         ..Failure::not_run(Code::UpstreamFailed, error.to_string())
     })?;
     Ok(RunEvent::Called { status, body: body.to_vec(), replayed: false })
 }
 
-/// A call to the service without its body.
+/// Builds a call to the service, without the body.
 pub(super) fn request(
     client: &awc::Client,
     row: &Row,
@@ -100,7 +100,9 @@
     }
 }
 
-fn failed(error: &awc::error::SendRequestError) -> Failure {
+/// Converts an error of sending into a failure; the call may have run unless it
+/// never left.
+fn send_failure(error: &awc::error::SendRequestError) -> Failure {
     let ran = if never_left(error) { Ran::NotRun } else { Ran::Unknown };
     Failure { ran, ..Failure::not_run(Code::UpstreamFailed, error.to_string()) }
 }
--- a/kingcupbayd/src/upstream/engine.rs
+++ b/kingcupbayd/src/upstream/engine.rs
@@ -22,38 +22,39 @@
     client::{Clients, never_left},
 };
 
-/// Longest line of an engine's event stream.
-const LINE_LIMIT: usize = 1 << 20;
+/// Longest line, in bytes, of an engine's event stream.
+const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Ends an engine's event stream.
-const DONE: &str = "[DONE]";
+/// Data of the last line of an engine's event stream.
+const DONE_DATA: &str = "[DONE]";
 
-/// Why an engine did not do as it was ordered.
+/// Error of a request to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub(crate) enum EngineError {
-    /// It could not be reached; it did nothing.
+    /// The engine could not be reached and did nothing.
     #[error("the engine cannot be reached: {0}")]
-    Unreached(String),
-    /// It refused with this status; it did nothing.
+    Unreachable(String),
+    /// The engine refused with this HTTP status and did nothing.
     #[error("the engine refused with {0}")]
     Refused(u16),
-    /// Its answer broke off or made no sense.
+    /// The answer ended early or was malformed; the engine may have acted.
     #[error("the engine's answer broke off: {0}")]
     Broken(String),
 }
 
-/// Events of a running generation.
+/// Event stream of a running generation.
 pub(crate) struct Generation {
     lines: Pin<Box<dyn Stream<Item = Result<String, EngineError>>>>,
     request: RequestId,
     model: String,
-    over: bool,
-    /// Whether the event with the reason of the end came.
+    /// Whether the stream has ended.
+    ended: bool,
+    /// Whether the event with the finish reason was received.
     complete: bool,
 }
 
-/// Starts a generation.
+/// Starts a generation and returns its event stream.
 pub(crate) async fn generate(
     clients: Clients,
     address: String,
@@ -69,19 +70,19 @@
         return Err(EngineError::Refused(response.status().as_u16()));
     }
     let reader = StreamReader::new(response.map_err(std::io::Error::other));
-    let lines = FramedRead::new(reader, LinesCodec::new_with_max_length(LINE_LIMIT))
+    let lines = FramedRead::new(reader, LinesCodec::new_with_max_length(MAX_LINE_BYTES))
         .map_err(|error| EngineError::Broken(error.to_string()));
     let (request, model) = (order.request_id, order.model);
-    Ok(Generation { lines: Box::pin(lines), request, model, over: false, complete: false })
+    Ok(Generation { lines: Box::pin(lines), request, model, ended: false, complete: false })
 }
 
 impl Generation {
-    /// The next chunk; `None` after the last one. Safe to drop and call again.
+    /// Returns the next chunk, or `None` after the last one. Cancel safe.
     ///
-    /// A chunk of another request or another adapter version breaks the
-    /// stream: the engine crossed two answers, and neither may be delivered.
+    /// A chunk of another request or another adapter version is an error: the
+    /// engine has mixed up two answers, and neither may be delivered.
     pub(crate) async fn next(&mut self) -> Result<Option<Chunk>, EngineError> {
-        if self.over {
+        if self.ended {
             return Ok(None);
         }
         loop {
@@ -90,8 +91,8 @@
                 None => return Err(EngineError::Broken("it ended early".to_owned())),
             };
             let Some(data) = line.strip_prefix("data:").map(str::trim) else { continue };
-            if data == DONE {
-                self.over = true;
+            if data == DONE_DATA {
+                self.ended = true;
                 return Ok(None);
             }
             let chunk: Chunk = serde_json::from_str(data)
@@ -107,8 +108,9 @@
 
 impl Drop for Generation {
     fn drop(&mut self) {
-        // Only after the last event is there an end to wait for; a stream that
-        // is dropped before it must be cancelled, and its connection closed.
+        // After the last event, the rest of the stream is read so that the
+        // connection can be used again. A stream dropped earlier is cancelled
+        // by closing its connection.
         if self.complete {
             let lines = std::mem::replace(&mut self.lines, Box::pin(stream::empty()));
             actix_rt::spawn(body::exhaust(lines));
@@ -116,25 +118,25 @@
     }
 }
 
-/// Orders a load and waits until it is done.
+/// Loads an adapter; returns when the engine has loaded it.
 pub(crate) async fn load(
     clients: &Clients,
     address: &str,
     order: &LoadAdapter,
 ) -> Result<(), EngineError> {
-    command(clients, address, "v1/load_lora_adapter", order).await
+    post(clients, address, "v1/load_lora_adapter", order).await
 }
 
-/// Orders an unload.
+/// Unloads an adapter.
 pub(crate) async fn unload(
     clients: &Clients,
     address: &str,
     order: &UnloadAdapter,
 ) -> Result<(), EngineError> {
-    command(clients, address, "v1/unload_lora_adapter", order).await
+    post(clients, address, "v1/unload_lora_adapter", order).await
 }
 
-async fn command<T: Serialize>(
+async fn post<T: Serialize>(
     clients: &Clients,
     address: &str,
     path: &str,
@@ -143,7 +145,7 @@
     let url = format!("http://{address}/{path}");
     let sent = clients.get(address).post(url).send_json(order).await;
     let mut response = sent.map_err(send_error)?;
-    // The body is read to its end so that the connection can serve again.
+    // The body is read to its end so that the connection can be used again.
     let _ = response.body().await;
     match response.status().is_success() {
         true => Ok(()),
@@ -151,21 +153,22 @@
     }
 }
 
-/// Asks for the engine's report.
+/// Requests the engine's report of its resident adapters.
 pub(crate) async fn report(clients: &Clients, address: &str) -> Result<LoadReport, EngineError> {
     let url = format!("http://{address}/load");
     let mut response = clients.get(address).get(url).send().await.map_err(send_error)?;
     response.json().await.map_err(|error| EngineError::Broken(error.to_string()))
 }
 
-/// Cancels a stream. Nothing depends on the answer: closing the stream's
-/// connection cancels it too, unless that connection went silent.
+/// Cancels a generation. The result is ignored: closing the connection of the
+/// stream cancels it too, unless that connection has gone silent.
 pub(crate) async fn cancel(clients: Clients, address: String, request: RequestId) {
-    let _ = command(&clients, &address, "v1/cancel", &Cancel { request_id: request }).await;
+    let _ = post(&clients, &address, "v1/cancel", &Cancel { request_id: request }).await;
 }
 
-/// The order for a prompt.
-pub(crate) fn order(request: RequestId, model: String, prompt: Prompt) -> Generate {
+/// Builds the engine request for a prompt. The caller sets the number of tokens,
+/// the offset and the sampling fields.
+pub(crate) fn generate_request(request: RequestId, model: String, prompt: Prompt) -> Generate {
     let (prompt, messages) = match prompt {
         Prompt::Text(text) => (Some(text), None),
         Prompt::Chat(messages) => (None, Some(messages)),
@@ -183,9 +186,11 @@
     }
 }
 
+/// Converts an error of sending; the engine may have acted unless the request
+/// never left.
 fn send_error(error: awc::error::SendRequestError) -> EngineError {
     match never_left(&error) {
-        true => EngineError::Unreached(error.to_string()),
+        true => EngineError::Unreachable(error.to_string()),
         false => EngineError::Broken(error.to_string()),
     }
 }
--- a/kingcupbayd/src/upstream/fence.rs
+++ b/kingcupbayd/src/upstream/fence.rs
@@ -1,9 +1,9 @@
-//! Fencing numbers: which daemon may give orders to an engine.
+//! Fencing numbers, which decide which daemon may send orders to an engine.
 //!
-//! The number of an engine grows by one with each daemon that comes to own
-//! it. Engines that check it refuse a predecessor's late orders. For those
-//! that ignore it, the successor waits until the predecessor cannot act any
-//! more: its standing has lapsed, and its longest order in flight has ended.
+//! The number of an engine grows by one with each daemon that becomes its
+//! owner. Engines that check the number refuse late orders of a previous owner.
+//! For engines that ignore it, the new owner waits until the previous one can
+//! no longer act: its standing has lapsed and its last order has arrived.
 
 use std::rc::Rc;
 
@@ -22,44 +22,50 @@
     store::table::TableError,
 };
 
-/// Longest time between a daemon's look at its standing and the arrival of
-/// the order that it then gave.
-const ORDER_FLIGHT: Span = Span::from_secs(2);
+/// Longest time between a daemon's check of its standing and the arrival of
+/// the order that it then sends.
+const MAX_ORDER_DELAY: Span = Span::from_secs(2);
 
-/// Pause after a failed attempt.
-const PAUSE: std::time::Duration = std::time::Duration::from_millis(200);
+/// Pause after a failed attempt, and between two checks of the own join.
+const RETRY_PAUSE: std::time::Duration = std::time::Duration::from_millis(200);
 
-/// Row of one engine.
+/// Row of one engine or service in the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 struct Fence {
-    /// The number in force.
+    /// The current number.
     number: u64,
-    /// The attempt that wrote it: tells a write whose answer was lost from
-    /// somebody else's.
+    /// Identity of the attempt that wrote the row. A daemon recognises its own
+    /// write by it when the answer of the table was lost.
     attempt: String,
 }
 
-/// Key of the row of an engine or service. Each write of it makes the next
-/// number and it is never removed, so its revision is the number.
-pub(super) fn key(engine: &Name) -> String {
+/// Returns the key of the row of an engine or service. Each write of the row
+/// stores the next number and the row is never removed, so its revision equals
+/// the number.
+pub(super) fn row_key(engine: &Name) -> String {
     format!("fence/{engine}")
 }
 
-/// Takes the next fencing number of `engine`, however long the table is away.
-pub(super) async fn acquire(upstream: &Rc<Upstream>, engine: &Name, checked: bool) -> u64 {
+/// Takes the next fencing number of `engine` and returns it. Retries for as long
+/// as the table is unreachable.
+///
+/// `enforced` says whether stale orders are refused by the number itself.
+/// Otherwise this also waits until a previous owner can no longer act.
+pub(super) async fn acquire(upstream: &Rc<Upstream>, engine: &Name, enforced: bool) -> u64 {
     let attempt = new_request_id().to_string();
     loop {
-        match take(upstream, engine, &attempt).await {
+        match try_acquire(upstream, engine, &attempt).await {
             Ok(Some(number)) => {
-                if !checked && number > 1 {
-                    // A predecessor that was paused keeps the standing that
-                    // its peers vouch for until they know it is replaced, so
-                    // the wait begins only when this daemon's join is in force.
+                if !enforced && number > 1 {
+                    // A previous owner that was paused may keep its standing,
+                    // confirmed by its peers, until they know that it is
+                    // replaced. So the wait starts only when the join of this
+                    // daemon is in force.
                     while !upstream.fleet.is_joined() {
-                        tokio::time::sleep(PAUSE).await;
+                        tokio::time::sleep(RETRY_PAUSE).await;
                     }
-                    tokio::time::sleep((FRESHNESS + ORDER_FLIGHT).into()).await;
+                    tokio::time::sleep((FRESHNESS + MAX_ORDER_DELAY).into()).await;
                 }
                 info!(upstream.log, ""; "event" => "owned", "upstream" => %engine,
                     "fencing" => number);
@@ -69,22 +75,24 @@
             Err(error) => {
                 warn!(upstream.log, ""; "event" => "fence_failed", "upstream" => %engine,
                     "error" => %error);
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-async fn take(
+/// Makes one attempt to write the next number. Returns `None` if another daemon
+/// wrote the row meanwhile.
+async fn try_acquire(
     upstream: &Upstream,
     engine: &Name,
     attempt: &str,
 ) -> Result<Option<u64>, TableError> {
-    let key = key(engine);
+    let key = row_key(engine);
     let rows = upstream.table.read(&Read::Keys(vec![key.clone()])).await?;
     let row = rows.rows.first();
     let old: Option<Fence> = row.map(decode);
-    // Our own write whose answer was lost.
+    // An earlier write of this attempt whose answer was lost.
     if let Some(own) = old.as_ref().filter(|fence| fence.attempt == attempt) {
         return Ok(Some(own.number));
     }
--- a/kingcupbayd/src/upstream/once.rs
+++ b/kingcupbayd/src/upstream/once.rs
@@ -1,8 +1,8 @@
-//! Calls that run at most once: carries out what `kingcupbay_core::claim`
-//! decides.
+//! Calls that run at most once: executes the decisions of
+//! `kingcupbay_core::claim`.
 //!
-//! Each call runs in a task of its own, which outlives its caller's wait: an
-//! entry that goes away midway must not keep the outcome from being written.
+//! Each call runs in a task of its own, which continues after its caller has
+//! stopped waiting: the outcome must be written even if the entry disconnects.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -37,24 +37,24 @@
     store::table::TableError,
 };
 
-/// Pause after a call of the table that gave no answer.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause after a request to the table that got no answer.
+const TABLE_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// When to come back if the table gives no fencing number.
-const RETRY: Span = Span::from_secs(1);
+/// When to retry a call for which no fencing number could be taken.
+const FENCING_RETRY: Span = Span::from_secs(1);
 
-/// Longest wait for a fencing number, which takes two exchanges with the
-/// table. While it is away, a call is given up on and not held any longer.
-const NUMBER_WAIT: Span = Span::from_secs(2);
+/// Longest wait for a fencing number, which takes two requests to the table. A
+/// call is refused after it, instead of waiting for a table that is unreachable.
+const FENCING_TIMEOUT: Span = Span::from_secs(2);
 
-/// How long after its caller's deadline a call may still bring its outcome,
-/// for a repeat to find. A planned stop waits as long at most.
-const OVERTIME: Span = Span::from_secs(10);
+/// How long after its caller's deadline a call may still deliver its outcome,
+/// which is recorded for a repeat. Also bounds how long a planned stop waits.
+const OUTCOME_GRACE: Span = Span::from_secs(10);
 
-/// Fencing numbers of plain services, taken with the first call to each.
-pub(super) type Numbers = BTreeMap<UpstreamId, Rc<OnceCell<u64>>>;
+/// Fencing numbers of plain services, each taken with the first call.
+pub(super) type FencingNumbers = BTreeMap<UpstreamId, Rc<OnceCell<u64>>>;
 
-/// What is to be called.
+/// A call to run.
 pub(super) struct Call {
     pub(super) request: RequestId,
     pub(super) organisation: OrganisationId,
@@ -64,28 +64,28 @@
     pub(super) path: String,
     pub(super) idempotency: String,
     pub(super) body: Vec<u8>,
-    /// When the caller stops waiting.
+    /// When the caller stops waiting for the answer.
     pub(super) deadline: Instant,
 }
 
-/// Runs a call at most once and tells how it ended.
+/// Runs a call at most once and returns its final event.
 pub(super) async fn run(upstream: Rc<Upstream>, call: Call) -> Result<RunEvent, Failure> {
-    let left = call.deadline.since(clock::now()).min(NUMBER_WAIT);
-    let number = tokio::time::timeout(left.into(), number(&upstream, &call)).await;
+    let left = call.deadline.since(clock::now()).min(FENCING_TIMEOUT);
+    let number = tokio::time::timeout(left.into(), fencing_number(&upstream, &call)).await;
     let number = number.map_err(|_| {
-        Failure::not_run(Code::StoreDown, "the table gives no fencing number").after(RETRY)
+        Failure::not_run(Code::StoreDown, "the table gives no fencing number").after(FENCING_RETRY)
     })?;
     let attempt = Attempt {
         key: row_key(call.organisation, &call.idempotency),
         digest: Digest::of(call.route, &call.path, &call.body),
-        // Not the request's id: an entry may send one request to two
-        // upstreams, and each must tell its own claim from the other's.
+        // Not the id of the request: an entry may send one request to two
+        // upstreams, and each must distinguish its own claim from the other's.
         id: new_request_id(),
         claimer: upstream.settings.daemon.host.clone(),
-        fence: Condition { key: fence::key(&call.row.name), revision: number },
+        fence: Condition { key: fence::row_key(&call.row.name), revision: number },
     };
     let (caller, answer) = oneshot::channel();
-    actix_rt::spawn(drive(Once { upstream, call }, attempt, caller));
+    actix_rt::spawn(run_attempt(OnceCall { upstream, call }, attempt, caller));
     match answer.await {
         Ok(Answer::Outcome { outcome, replayed }) => {
             let body = outcome.body.unwrap_or_default();
@@ -100,19 +100,21 @@
     }
 }
 
-/// This daemon's fencing number for the upstream. It is never taken anew: a
-/// daemon that has a successor claims nothing more.
-async fn number(upstream: &Rc<Upstream>, call: &Call) -> u64 {
-    let cell = upstream.numbers.borrow_mut().entry(call.upstream).or_default().clone();
-    // Claims are conditional on the number, so nothing that a predecessor has
-    // in flight needs to be waited for.
+/// Returns this daemon's fencing number for the upstream. It is taken only
+/// once: a daemon that has been replaced must not claim calls any more.
+async fn fencing_number(upstream: &Rc<Upstream>, call: &Call) -> u64 {
+    let cell = upstream.fencing_numbers.borrow_mut().entry(call.upstream).or_default().clone();
+    // Claims are conditional on the number, so there is no need to wait for
+    // requests that the previous owner has in flight.
     let taken = cell.get_or_init(|| fence::acquire(upstream, &call.row.name, true));
     *taken.await
 }
 
-/// Takes one attempt to its end, and tells the caller on the way.
-async fn drive(once: Once, attempt: Attempt, caller: oneshot::Sender<Answer>) {
-    // A planned stop waits for this, also when the entry has gone.
+/// Runs one attempt until its outcome is recorded, and sends the answer to the
+/// caller as soon as it is known or the deadline passes.
+async fn run_attempt(once: OnceCall, attempt: Attempt, caller: oneshot::Sender<Answer>) {
+    // A planned stop waits for this attempt, also when the entry has
+    // disconnected.
     let running = once.upstream.drain.connection();
     let mut caller = Some(caller);
     let (mut claim, actions) = Claim::start(attempt);
@@ -122,10 +124,10 @@
     let mut late = false;
     while let Some(action) = actions.pop_front() {
         if let Action::Answer(answer) = action {
-            once.tell(&mut caller, answer);
+            once.report_answer(&mut caller, answer);
             continue;
         }
-        let mut work = pin!(once.carry_out(action));
+        let mut work = pin!(once.execute(action));
         let events = loop {
             tokio::select! {
                 events = &mut work => break events,
@@ -135,7 +137,7 @@
                         let Action::Answer(answer) = action else {
                             unreachable!("a deadline only brings an answer")
                         };
-                        once.tell(&mut caller, answer);
+                        once.report_answer(&mut caller, answer);
                     }
                 }
             }
@@ -147,14 +149,15 @@
     drop(running);
 }
 
-/// A call on its way.
-struct Once {
+/// A call in progress.
+struct OnceCall {
     upstream: Rc<Upstream>,
     call: Call,
 }
 
-impl Once {
-    fn tell(&self, caller: &mut Option<oneshot::Sender<Answer>>, answer: Answer) {
+impl OnceCall {
+    /// Logs the outcome and sends the answer to the caller, if it still waits.
+    fn report_answer(&self, caller: &mut Option<oneshot::Sender<Answer>>, answer: Answer) {
         let outcome = match &answer {
             Answer::Outcome { replayed: false, .. } => "ok",
             Answer::Outcome { replayed: true, .. } => "replayed",
@@ -163,12 +166,13 @@
         info!(self.upstream.log, ""; "event" => "once", "request" => %self.call.request,
             "upstream" => %self.call.row.name, "outcome" => outcome);
         if let Some(caller) = caller.take() {
-            // The entry may have gone; a repeat finds the outcome.
+            // The entry may have disconnected; a repeat gets the outcome.
             let _ = caller.send(answer);
         }
     }
 
-    async fn carry_out(&self, action: Action) -> Vec<Event> {
+    /// Executes one action and returns the events that result.
+    async fn execute(&self, action: Action) -> Vec<Event> {
         match action {
             Action::Txn(txn) => vec![self.txn(&txn).await],
             Action::Read(read) => vec![self.read(&read).await],
@@ -180,40 +184,43 @@
     async fn txn(&self, txn: &Txn) -> Event {
         match self.upstream.table.txn(txn).await {
             Ok(answer) => Event::StoreAnswer(answer),
-            Err(error) => without_answer(&error).await,
+            Err(error) => table_error_event(&error).await,
         }
     }
 
     async fn read(&self, read: &Read) -> Event {
         match self.upstream.table.read(read).await {
             Ok(rows) => Event::RowRead(rows.rows.into_iter().next()),
-            Err(error) => without_answer(&error).await,
+            Err(error) => table_error_event(&error).await,
         }
     }
 
+    /// Calls the service, if that is still allowed, within the time limit.
     async fn send(&self) -> Vec<Event> {
-        // The claim may have taken long, and the daemon may have been paused:
-        // whether it may still act is asked here, at the moment of use.
+        // The claim may have taken long, or the process may have been
+        // suspended, so the check whether it may still act is made right before
+        // the call.
         if !self.may_send() {
             return vec![Event::NotSent];
         }
-        let limit = self.call.deadline.since(clock::now()) + OVERTIME;
-        let exchanged = tokio::time::timeout(limit.into(), self.exchange()).await;
+        let limit = self.call.deadline.since(clock::now()) + OUTCOME_GRACE;
+        let exchanged = tokio::time::timeout(limit.into(), self.call_service()).await;
         exchanged.unwrap_or_else(|_| vec![Event::ServiceLost])
     }
 
+    /// Returns whether the service may still be called.
     fn may_send(&self) -> bool {
         let upstream = &self.upstream;
         let now = clock::now();
         now < self.call.deadline
             && upstream.drain.phase() != Phase::Closing
             && upstream.fleet.may_act(now)
-            && upstream.own(self.call.upstream).is_ok()
+            && upstream.owned_row(self.call.upstream).is_ok()
     }
 
-    async fn exchange(&self) -> Vec<Event> {
+    async fn call_service(&self) -> Vec<Event> {
         let (call, row) = (&self.call, &self.call.row);
-        // A pooled connection may be dead already: the call would count as
+        // A pooled connection may be dead already. The call would then count as
         // lost, and its claim would never get an outcome.
         let client = self.upstream.clients.unpooled();
         let request = call::request(&client, row, &call.path, Some(&call.idempotency));
@@ -223,7 +230,7 @@
             Err(_) => return vec![Event::ServiceLost],
         };
         let status = response.status().as_u16();
-        let answered = match body::whole(&mut response, call::ANSWER_LIMIT).await {
+        let answered = match body::whole(&mut response, call::MAX_ANSWER_BYTES).await {
             Ok(body) => Event::ServiceAnswered(Outcome { status, body: Some(body.to_vec()) }),
             Err(_) => Event::ServiceLost,
         };
@@ -231,8 +238,9 @@
     }
 }
 
-async fn without_answer(error: &TableError) -> Event {
-    tokio::time::sleep(PAUSE).await;
+/// Pauses, then returns the event for a request that the table did not answer.
+async fn table_error_event(error: &TableError) -> Event {
+    tokio::time::sleep(TABLE_RETRY_PAUSE).await;
     match error {
         TableError::Unreached(_) => Event::StoreRefused,
         TableError::Lost(_) => Event::StoreLost,
--- a/kingcupbayd/src/upstream/run.rs
+++ b/kingcupbayd/src/upstream/run.rs
@@ -1,4 +1,4 @@
-//! Orders of entries: checked, run, and answered frame by frame.
+//! Run requests of entries: checked, run, and answered by a stream of frames.
 
 use std::rc::Rc;
 
@@ -22,7 +22,7 @@
 use super::{
     Upstream, call,
     engine::{self, EngineError, Generation},
-    runner::Place,
+    runner::Permit,
 };
 use crate::{
     active::Entered,
@@ -31,42 +31,43 @@
     server::drain::Phase,
 };
 
-/// Longest order: a caller's body and what the entry adds.
-const ORDER_LIMIT: usize = 72 << 20;
+/// Longest run request in bytes: a caller's body and what the entry adds to it.
+const MAX_RUN_BYTES: usize = 72 << 20;
 
-/// Time for an order to arrive whole.
-const ORDER_TIME: Span = Span::from_secs(10);
+/// Longest time to receive a run request.
+const RUN_TIMEOUT: Span = Span::from_secs(10);
 
-/// Outcome of an order whose entry closed the stream before its end.
-const LEFT: &str = "entry_left";
+/// Outcome logged when the entry closed the stream before its end.
+const ENTRY_LEFT: &str = "entry_left";
 
 /// Media type of a sequence of frames.
-const FRAMES: &str = "application/vnd.kingcupbay.frames";
+const FRAMES_MEDIA_TYPE: &str = "application/vnd.kingcupbay.frames";
 
 /// Answers `POST /run`.
 pub(crate) async fn answer(upstream: Rc<Upstream>, mut request: Request) -> Response<BoxBody> {
-    let bytes = match body::read(request.take_payload(), ORDER_LIMIT, ORDER_TIME).await {
+    let bytes = match body::read(request.take_payload(), MAX_RUN_BYTES, RUN_TIMEOUT).await {
         Ok(bytes) => bytes,
         Err(failure) => return reply::failure(&failure),
     };
     let Ok(run) = rmp_serde::from_slice::<Run>(&bytes) else {
         return reply::failure(&Failure::not_run(Code::BadRequest, "not an order"));
     };
-    let serving = Serving::new(upstream, run);
-    let frames = stream::unfold(Some(serving), |serving| async move {
-        let mut serving = serving?;
-        let event = serving.next().await;
+    let state = RunStream::new(upstream, run);
+    let frames = stream::unfold(Some(state), |state| async move {
+        let mut state = state?;
+        let event = state.next().await;
         let last =
             matches!(event, RunEvent::Done { .. } | RunEvent::Called { .. } | RunEvent::Failed(_));
         if last {
-            serving.close(&event);
+            state.close(&event);
         }
-        let bytes = encode(serving.request, event);
-        Some((Ok(bytes), (!last).then_some(serving)))
+        let bytes = encode(state.request, event);
+        Some((Ok(bytes), (!last).then_some(state)))
     });
-    reply::stream(FRAMES, frames)
+    reply::stream(FRAMES_MEDIA_TYPE, frames)
 }
 
+/// Encodes a frame with its length, four bytes in big-endian order, in front.
 fn encode(request: RequestId, event: RunEvent) -> Bytes {
     let frame = rmp_serde::to_vec(&Frame { request, event }).expect("frames serialise");
     let mut bytes = BytesMut::with_capacity(4 + frame.len());
@@ -75,142 +76,147 @@
     bytes.freeze()
 }
 
-/// Steps of one order.
-enum Phases {
-    /// Checks, and waits for a place on the engine.
-    Waiting(LocalBoxFuture<'static, Result<(Place, Order), Failure>>),
-    /// Waits for the engine to take the order.
-    Starting(Place, LocalBoxFuture<'static, Result<Generation, EngineError>>),
-    /// The engine generates; the place is held for as long.
-    Generating { place: Place, generation: Generation },
-    /// A plain service is called.
+/// Stage of one run request.
+enum Stage {
+    /// The request is checked and waits for a permit of the engine.
+    Waiting(LocalBoxFuture<'static, Result<(Permit, EngineOrder), Failure>>),
+    /// The request was sent to the engine, which has not answered yet.
+    Starting(Permit, LocalBoxFuture<'static, Result<Generation, EngineError>>),
+    /// The engine generates. The permit is held until it ends.
+    Generating { permit: Permit, generation: Generation },
+    /// A plain service is being called.
     Calling(LocalBoxFuture<'static, RunEvent>),
-    /// Nothing follows.
-    Over,
+    /// The last event was returned.
+    Ended,
 }
 
-/// What goes to the engine.
-struct Order {
+/// A generation request and the address of its engine.
+struct EngineOrder {
     address: String,
     generate: kingcupbay_core::wire::engine::Generate,
 }
 
-/// One order being served. Its drop cancels what runs: the entry has gone, or
-/// has ended the request.
-struct Serving {
+/// Event stream that answers one run request. Dropping it cancels the request on
+/// the engine: the entry has disconnected or has ended the request.
+struct RunStream {
     upstream: Rc<Upstream>,
     request: RequestId,
     organisation: OrganisationId,
-    phase: Phases,
-    /// Where the engine runs the request, while it does.
+    stage: Stage,
+    /// Address of the engine while it runs the request.
     engine: Option<String>,
-    /// When the last event came.
-    heard: Instant,
-    /// Whether the closing line is still to be written.
-    open: bool,
+    /// When the last event other than a heartbeat was returned.
+    last_event: Instant,
+    /// Whether the final log line has not been written yet.
+    unlogged: bool,
     model: String,
     entered: Entered,
 }
 
-impl Serving {
-    fn new(upstream: Rc<Upstream>, run: Run) -> Serving {
+impl RunStream {
+    fn new(upstream: Rc<Upstream>, run: Run) -> RunStream {
         let (request, organisation) = (run.request, run.organisation);
-        let model = name_of(&upstream, &run);
+        let model = model_name(&upstream, &run);
         let name = upstream.organisation_name(organisation);
         let entered = upstream.active.enter(request, &name, &model, clock::now());
         entered.on_upstream(&upstream.upstream_name(run.upstream));
-        let phase = match run.work {
-            Work::Generate { .. } => Phases::Waiting(Box::pin(wait(upstream.clone(), run))),
-            Work::Call { .. } => Phases::Calling(Box::pin(call::run(upstream.clone(), run))),
+        let stage = match run.work {
+            Work::Generate { .. } => {
+                Stage::Waiting(Box::pin(acquire_permit(upstream.clone(), run)))
+            }
+            Work::Call { .. } => Stage::Calling(Box::pin(call::run(upstream.clone(), run))),
         };
-        Serving {
+        RunStream {
             upstream,
             request,
             organisation,
-            phase,
+            stage,
             engine: None,
-            heard: clock::now(),
-            open: true,
+            last_event: clock::now(),
+            unlogged: true,
             model,
             entered,
         }
     }
 
-    /// The next event; a heartbeat when there is none for a while.
+    /// Returns the next event, or a heartbeat if there is none for the heartbeat
+    /// period.
     async fn next(&mut self) -> RunEvent {
         let heartbeat = self.upstream.settings.tuning.heartbeat.into();
         loop {
             match tokio::time::timeout(heartbeat, self.advance()).await {
-                Ok(Some(event)) => return self.heard(event),
+                Ok(Some(event)) => return self.on_event(event),
                 Ok(None) => {}
-                Err(_) => return self.quiet(),
+                Err(_) => return self.on_silence(),
             }
         }
     }
 
-    fn heard(&mut self, event: RunEvent) -> RunEvent {
-        self.heard = clock::now();
+    fn on_event(&mut self, event: RunEvent) -> RunEvent {
+        self.last_event = clock::now();
         event
     }
 
-    /// Nothing for one heartbeat. An engine whose stream stays silent for too
-    /// long has lost it, though its connection looks open; the entry resumes
-    /// the answer on another engine.
-    fn quiet(&mut self) -> RunEvent {
-        let on_engine = matches!(self.phase, Phases::Starting(..) | Phases::Generating { .. });
-        let silence = clock::now().since(self.heard);
+    /// Handles a heartbeat period without an event. If the engine's stream has
+    /// been silent for too long, it is lost even though its connection looks
+    /// open, and the request fails so that the entry resumes it on another
+    /// engine.
+    fn on_silence(&mut self) -> RunEvent {
+        let on_engine = matches!(self.stage, Stage::Starting(..) | Stage::Generating { .. });
+        let silence = clock::now().since(self.last_event);
         if !on_engine || silence < self.upstream.settings.tuning.engine_silence {
             return RunEvent::Heartbeat;
         }
-        // Its pooled connections are as dead; the next attempt needs a new one.
+        // Its pooled connections are likely dead too, so the next attempt must
+        // open a new one.
         if let Some(address) = &self.engine {
             self.upstream.clients.forget(address);
         }
         let error = EngineError::Broken("it went silent".to_owned());
-        self.phase = Phases::Over;
+        self.stage = Stage::Ended;
         RunEvent::Failed(upstream_failed(Ran::Unknown, &error))
     }
 
-    /// Goes one step; safe to drop and call again.
+    /// Advances by one step; `None` if the step has no event. Cancel safe.
     async fn advance(&mut self) -> Option<RunEvent> {
-        match &mut self.phase {
-            Phases::Waiting(place) => {
-                let result = place.await;
-                self.on_place(result)
+        match &mut self.stage {
+            Stage::Waiting(permit) => {
+                let result = permit.await;
+                self.on_permit(result)
             }
-            Phases::Starting(place, started) => {
+            Stage::Starting(permit, started) => {
                 let result = tokio::select! {
                     result = started => result,
-                    () = place.lost() => Err(restarted()),
+                    () = permit.adapter_lost() => Err(restarted_error()),
                 };
                 self.on_start(result)
             }
-            Phases::Generating { place, generation } => {
+            Stage::Generating { permit, generation } => {
                 let result = tokio::select! {
                     result = generation.next() => result,
-                    () = place.lost() => Err(restarted()),
+                    () = permit.adapter_lost() => Err(restarted_error()),
                 };
                 if matches!(result, Ok(Some(_))) {
-                    place.on_tokens(1);
+                    permit.on_tokens(1);
                 }
                 self.on_chunk(result)
             }
-            Phases::Calling(called) => {
+            Stage::Calling(called) => {
                 let event = called.await;
-                self.phase = Phases::Over;
+                self.stage = Stage::Ended;
                 Some(event)
             }
-            Phases::Over => unreachable!("the last event ends the stream"),
+            Stage::Ended => unreachable!("the last event ends the stream"),
         }
     }
 
-    fn on_place(&mut self, result: Result<(Place, Order), Failure>) -> Option<RunEvent> {
+    fn on_permit(&mut self, result: Result<(Permit, EngineOrder), Failure>) -> Option<RunEvent> {
         match result {
-            Ok((place, order)) => {
+            Ok((permit, order)) => {
                 let clients = self.upstream.clients.clone();
                 self.engine = Some(order.address.clone());
                 let started = engine::generate(clients, order.address, order.generate);
-                self.phase = Phases::Starting(place, Box::pin(started));
+                self.stage = Stage::Starting(permit, Box::pin(started));
                 Some(RunEvent::Started)
             }
             Err(failure) => self.fail(failure),
@@ -218,18 +224,18 @@
     }
 
     fn on_start(&mut self, result: Result<Generation, EngineError>) -> Option<RunEvent> {
-        match (std::mem::replace(&mut self.phase, Phases::Over), result) {
-            (Phases::Starting(place, _), Ok(generation)) => {
-                self.phase = Phases::Generating { place, generation };
+        match (std::mem::replace(&mut self.stage, Stage::Ended), result) {
+            (Stage::Starting(permit, _), Ok(generation)) => {
+                self.stage = Stage::Generating { permit, generation };
                 None
             }
-            (_, Ok(_)) => unreachable!("only a starting order starts"),
-            (phase, Err(error)) => {
-                if let Phases::Starting(place, _) = phase {
-                    place.runner().ask();
+            (_, Ok(_)) => unreachable!("only a starting request starts"),
+            (stage, Err(error)) => {
+                if let Stage::Starting(permit, _) = stage {
+                    permit.runner().request_report();
                 }
                 let ran = match error {
-                    EngineError::Unreached(_) | EngineError::Refused(_) => Ran::NotRun,
+                    EngineError::Unreachable(_) | EngineError::Refused(_) => Ran::NotRun,
                     EngineError::Broken(_) => Ran::Unknown,
                 };
                 self.fail(upstream_failed(ran, &error))
@@ -257,20 +263,20 @@
             }
             Some(reason) => {
                 self.engine = None;
-                self.phase = Phases::Over;
+                self.stage = Stage::Ended;
                 Some(RunEvent::Done { reason, usage: chunk.usage.unwrap_or_default() })
             }
         }
     }
 
     fn fail(&mut self, failure: Failure) -> Option<RunEvent> {
-        self.phase = Phases::Over;
+        self.stage = Stage::Ended;
         Some(RunEvent::Failed(failure))
     }
 }
 
-impl Serving {
-    /// Writes the closing line.
+impl RunStream {
+    /// Writes the final log line for the last event.
     fn close(&mut self, event: &RunEvent) {
         let outcome = match event {
             RunEvent::Failed(failure) => failure.code.as_str(),
@@ -279,10 +285,11 @@
         self.log_end(outcome);
     }
 
+    /// Writes the final log line, and counts an answer that was not delivered.
     fn log_end(&mut self, outcome: &str) {
-        self.open = false;
+        self.unlogged = false;
         let name = self.upstream.organisation_name(self.organisation);
-        if outcome == LEFT {
+        if outcome == ENTRY_LEFT {
             self.upstream.metrics.undelivered.with_label_values(&[name.as_str()]).inc();
         }
         info!(self.upstream.log, ""; "event" => "run", "request" => %self.request,
@@ -290,20 +297,21 @@
     }
 }
 
-impl Drop for Serving {
+impl Drop for RunStream {
     fn drop(&mut self) {
-        // The entry may have died: then nobody else knows that its caller
-        // never got the whole answer.
-        if self.open {
-            self.log_end(LEFT);
+        // The entry may have died. Then no other process knows that its caller
+        // did not receive the whole answer.
+        if self.unlogged {
+            self.log_end(ENTRY_LEFT);
         }
         let Some(address) = self.engine.take() else { return };
         actix_rt::spawn(engine::cancel(self.upstream.clients.clone(), address, self.request));
     }
 }
 
-/// What an order asks for, as dumps and logs name it.
-fn name_of(upstream: &Upstream, run: &Run) -> String {
+/// Returns the name of the model or route that a run request asks for, as used
+/// in dumps and logs.
+fn model_name(upstream: &Upstream, run: &Run) -> String {
     let config = upstream.fleet.config();
     let name = match &run.work {
         Work::Generate { version, .. } => config.model(*version),
@@ -312,7 +320,8 @@
     name.unwrap_or_else(|| "removed".to_owned())
 }
 
-fn restarted() -> EngineError {
+/// Returns the error of an engine that lost its adapters by a restart.
+fn restarted_error() -> EngineError {
     EngineError::Broken("it restarted".to_owned())
 }
 
@@ -320,10 +329,13 @@
     Failure { ran, ..Failure::not_run(Code::UpstreamFailed, error.to_string()) }
 }
 
-/// Checks an order as the entry did, under this daemon's own configuration,
-/// and waits for a place.
-async fn wait(upstream: Rc<Upstream>, run: Run) -> Result<(Place, Order), Failure> {
-    let row = check(&upstream, &run).await?;
+/// Checks a run request as the entry did, but under this daemon's own
+/// configuration, and waits for a permit.
+async fn acquire_permit(
+    upstream: Rc<Upstream>,
+    run: Run,
+) -> Result<(Permit, EngineOrder), Failure> {
+    let row = check_run(&upstream, &run).await?;
     let Work::Generate { version, prompt, max_tokens, offset, sampling } = run.work else {
         unreachable!("the order was matched")
     };
@@ -342,17 +354,18 @@
         deadline: now + run.left,
         enqueued: now,
     };
-    let place = upstream.runner(run.upstream, &row).place(entry).await?;
-    place.on_tokens(prompt.tokens());
-    let generate = engine::order(run.request, model, prompt);
+    let permit = upstream.runner(run.upstream, &row).acquire_permit(entry).await?;
+    permit.on_tokens(prompt.tokens());
+    let generate = engine::generate_request(run.request, model, prompt);
     let generate =
         kingcupbay_core::wire::engine::Generate { max_tokens, offset, sampling, ..generate };
-    Ok((place, Order { address: row.address, generate }))
+    Ok((permit, EngineOrder { address: row.address, generate }))
 }
 
-/// Whether this daemon may run the order, asked under a configuration at
-/// least as new as the one that admitted it.
-pub(super) async fn check(upstream: &Rc<Upstream>, run: &Run) -> Result<Row, Failure> {
+/// Checks that this daemon may run the request and returns the upstream's row.
+/// The check uses a configuration at least as new as the one that admitted the
+/// request.
+pub(super) async fn check_run(upstream: &Rc<Upstream>, run: &Run) -> Result<Row, Failure> {
     if upstream.drain.phase() == Phase::Closing {
         return Err(Failure::not_run(Code::Stopping, "this host is stopping"));
     }
@@ -360,5 +373,5 @@
         let message = "the upstream's daemon cannot confirm its configuration";
         return Err(Failure::not_run(Code::NoStanding, message));
     }
-    upstream.own(run.upstream)
+    upstream.owned_row(run.upstream)
 }
--- a/kingcupbayd/src/upstream/runner/orders.rs
+++ b/kingcupbayd/src/upstream/runner/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the engine, and its answers as outcomes.
+//! Sends orders to the engine and converts its answers into outcomes.
 
 use std::rc::Rc;
 
@@ -17,19 +17,20 @@
 };
 
 /// Longest time for a load. The weight store slows down with each load beyond
-/// eight in flight; a load that takes this long counts as unknown.
-const LOAD_TIME: Span = Span::from_secs(30);
+/// eight in flight. A load that exceeds this time has an unknown outcome.
+const LOAD_TIMEOUT: Span = Span::from_secs(30);
 
-/// Longest time for a short order.
-const ORDER_TIME: Span = Span::from_secs(2);
+/// Longest time for an unload or a report.
+const ORDER_TIMEOUT: Span = Span::from_secs(2);
 
-/// By how much an engine's report lags behind at most.
-const REPORT_LAG: Span = Span::from_millis(500);
+/// Longest delay between a change in an engine and its report.
+const MAX_REPORT_LAG: Span = Span::from_millis(500);
 
-/// Status of an answer that refuses an old fencing number.
-const CONFLICT: u16 = 409;
+/// HTTP status of an answer that refuses a stale fencing number.
+const CONFLICT_STATUS: u16 = 409;
 
-/// Sends one order and tells the slots how it ended.
+/// Sends one order, reports its outcome to the slots, and returns the actions
+/// that follow.
 pub(super) async fn send(runner: &Rc<Runner>, order: Action) -> Vec<Action> {
     match order {
         Action::Load { version, order } => {
@@ -40,18 +41,20 @@
             let outcome = unload(runner, version, order.fencing).await;
             with_slots(runner, |slots| slots.on_unload(clock::now(), order, outcome))
         }
-        Action::RequestReport => ask(runner).await,
+        Action::RequestReport => request_report(runner).await,
         Action::Failed { .. } | Action::Lost { .. } => Vec::new(),
     }
 }
 
+/// Updates the slots, if the daemon has its fencing number.
 fn with_slots(
     runner: &Runner,
-    f: impl FnOnce(&mut kingcupbay_core::slot::Slots) -> Vec<Action>,
+    update: impl FnOnce(&mut kingcupbay_core::slot::Slots) -> Vec<Action>,
 ) -> Vec<Action> {
-    runner.state.borrow_mut().slots.as_mut().map(f).unwrap_or_default()
+    runner.state.borrow_mut().slots.as_mut().map(update).unwrap_or_default()
 }
 
+/// Loads an adapter version, and counts and logs the outcome.
 async fn load(runner: &Runner, version: VersionId, fencing: u64) -> Outcome {
     let config = runner.upstream.fleet.config();
     let (Some(row), Some(name)) = (config.versions.get(version), config.model(version)) else {
@@ -60,7 +63,7 @@
     let order = LoadAdapter { lora_name: name, lora_path: row.source.clone(), fencing };
     let began = clock::now();
     let sent = engine::load(&runner.upstream.clients, &runner.row.address, &order);
-    let outcome = outcome(bounded(runner, LOAD_TIME, sent).await, true);
+    let outcome = outcome_of(with_timeout(runner, LOAD_TIMEOUT, sent).await, true);
     let text = format!("{outcome:?}").to_lowercase();
     runner.upstream.metrics.loads.with_label_values(&[text.as_str()]).inc();
     info!(runner.upstream.log, ""; "event" => "load", "upstream" => %runner.row.name,
@@ -69,55 +72,58 @@
     outcome
 }
 
+/// Unloads an adapter version, and logs the outcome.
 async fn unload(runner: &Runner, version: VersionId, fencing: u64) -> Outcome {
     let config = runner.upstream.fleet.config();
-    // A version that left the configuration has no name here any more; the
-    // engine's report shows it, and it is unloaded by the name there.
+    // A version removed from the configuration has no name here any more. The
+    // engine's report still lists it, and it is unloaded by the name there.
     let Some(name) = config.model(version) else { return Outcome::Unknown };
     let order = UnloadAdapter { lora_name: name, fencing };
     let sent = engine::unload(&runner.upstream.clients, &runner.row.address, &order);
-    let outcome = outcome(bounded(runner, ORDER_TIME, sent).await, false);
+    let outcome = outcome_of(with_timeout(runner, ORDER_TIMEOUT, sent).await, false);
     info!(runner.upstream.log, ""; "event" => "unload", "upstream" => %runner.row.name,
         "model" => order.lora_name, "outcome" => format!("{outcome:?}").to_lowercase());
     outcome
 }
 
-async fn ask(runner: &Rc<Runner>) -> Vec<Action> {
+/// Requests the engine's report and passes it to the slots.
+async fn request_report(runner: &Rc<Runner>) -> Vec<Action> {
     let asked = clock::now();
     let sent = engine::report(&runner.upstream.clients, &runner.row.address);
-    let Ok(report) = bounded(runner, ORDER_TIME, sent).await else { return Vec::new() };
+    let Ok(report) = with_timeout(runner, ORDER_TIMEOUT, sent).await else { return Vec::new() };
     let config = runner.upstream.fleet.config();
     let known = |name: &String| config.version_of(name);
     let loaded = report.loaded.iter().filter_map(known).collect();
-    drop_unknown(runner, &report).await;
-    let as_of = asked - REPORT_LAG;
+    unload_unknown(runner, &report).await;
+    let as_of = asked - MAX_REPORT_LAG;
     let report = EngineReport { incarnation: report.incarnation, as_of, loaded };
     with_slots(runner, |slots| slots.on_report(clock::now(), &report))
 }
 
-/// Unloads what the configuration does not name: it would keep a slot from
-/// everybody, and no request can ask for it.
-async fn drop_unknown(runner: &Runner, report: &LoadReport) {
+/// Unloads the adapters that the configuration does not name. No request can ask
+/// for them, and each would occupy a slot.
+async fn unload_unknown(runner: &Runner, report: &LoadReport) {
     let config = runner.upstream.fleet.config();
     let now = clock::now();
-    let owner = runner.upstream.fleet.may_act(now);
+    let may_act = runner.upstream.fleet.may_act(now);
     let fencing = runner.state.borrow().slots.as_ref().map(kingcupbay_core::slot::Slots::fencing);
-    let Some(fencing) = fencing.filter(|_| owner) else { return };
+    let Some(fencing) = fencing.filter(|_| may_act) else { return };
     for name in report.loaded.iter().filter(|name| config.version_of(name).is_none()) {
         let order = UnloadAdapter { lora_name: name.clone(), fencing };
         let sent = engine::unload(&runner.upstream.clients, &runner.row.address, &order);
-        let _ = bounded(runner, ORDER_TIME, sent).await;
+        let _ = with_timeout(runner, ORDER_TIMEOUT, sent).await;
     }
 }
 
-/// Waits for an answer within `time`. A connection that stays silent leaves
-/// the pool with its neighbours, or the next order would meet the next dead one.
-async fn bounded<T>(
+/// Waits for an answer for at most `limit`. If none arrives, all connections to
+/// the engine are removed from the pool, because the next order could otherwise
+/// use another dead one.
+async fn with_timeout<T>(
     runner: &Runner,
-    time: Span,
+    limit: Span,
     call: impl Future<Output = Result<T, EngineError>>,
 ) -> Result<T, EngineError> {
-    match tokio::time::timeout(time.into(), call).await {
+    match tokio::time::timeout(limit.into(), call).await {
         Ok(result) => result,
         Err(_) => {
             runner.upstream.clients.forget(&runner.row.address);
@@ -126,13 +132,14 @@
     }
 }
 
-/// What an answer means for the slots. A conflict tells of a newer fencing
-/// number only for loads: an unload conflicts while a request still runs.
-fn outcome(result: Result<(), EngineError>, is_load: bool) -> Outcome {
+/// Converts an answer into an outcome for the slots. A conflict means a newer
+/// fencing number only for loads; an unload also conflicts while a request still
+/// uses the adapter.
+fn outcome_of(result: Result<(), EngineError>, is_load: bool) -> Outcome {
     match result {
         Ok(()) => Outcome::Done,
-        Err(EngineError::Refused(CONFLICT)) if is_load => Outcome::Fenced,
-        Err(EngineError::Refused(_) | EngineError::Unreached(_)) => Outcome::Failed,
+        Err(EngineError::Refused(CONFLICT_STATUS)) if is_load => Outcome::Fenced,
+        Err(EngineError::Refused(_) | EngineError::Unreachable(_)) => Outcome::Failed,
         Err(EngineError::Broken(_)) => Outcome::Unknown,
     }
 }
