--- a/kingcupbayd/src/entry/admission.rs
+++ b/kingcupbayd/src/entry/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request may run, asked in the order that costs least.
+//! Authentication of callers, and the check that this daemon may serve them.
 
 use actix_http::Request;
 use kingcupbay_core::{
@@ -7,39 +7,43 @@
     wire::error::{Code, Failure},
 };
 
-use super::{Entry, head};
+use super::{Entry, headers};
 use crate::{clock, server::drain::Phase};
 
-/// When to come back while this daemon has no standing: the balancer has
-/// turned to another entry by then.
+/// When to retry while this daemon has no standing or is stopping. By then the
+/// balancer sends requests to another entry.
 const STANDING_RETRY: Span = Span::from_secs(1);
 
-/// Who asks, and under which configuration.
+/// The caller of a request, and the configuration that admitted it.
 #[derive(Clone, Debug)]
 pub(crate) struct Caller {
     /// The access key.
     pub(crate) key: KeyId,
-    /// Its organisation.
+    /// The organisation of the key.
     pub(crate) organisation: OrganisationId,
     /// The organisation's name, for logs and metrics.
     pub(crate) name: String,
-    /// The configuration the request is admitted under.
+    /// Number of the configuration that the request is admitted under.
     pub(crate) number: Number,
 }
 
-/// Finds out who asks.
-pub(crate) fn caller(entry: &Entry, request: &Request) -> Result<Caller, Failure> {
+/// Returns the caller that the access key of `request` belongs to.
+///
+/// Fails if this daemon is stopping, has no standing, or does not know the key.
+/// The checks are made in the order of their cost.
+pub(crate) fn authenticate(entry: &Entry, request: &Request) -> Result<Caller, Failure> {
     if entry.drain.phase() == Phase::Closing {
         let failure = Failure::not_run(Code::Stopping, "this host is stopping");
         return Err(failure.after(STANDING_RETRY));
     }
-    // A host cut off from the fleet cannot know whether a key was withdrawn.
+    // A host that is cut off from the fleet cannot know whether a key was
+    // withdrawn.
     if !entry.fleet.may_act(clock::now()) {
         let message = "this host cannot confirm its configuration";
         return Err(Failure::not_run(Code::NoStanding, message).after(STANDING_RETRY));
     }
     let config = entry.fleet.config();
-    let found = head::key(request).and_then(|hash| config.key_by_hash(hash));
+    let found = headers::access_key(request).and_then(|hash| config.key_by_hash(hash));
     let Some((key, row)) = found else {
         return Err(Failure::not_run(Code::BadKey, "the access key is not valid"));
     };
--- a/kingcupbayd/src/entry/answer.rs
+++ b/kingcupbayd/src/entry/answer.rs
@@ -1,4 +1,5 @@
-//! Answers to generation, streamed or whole, in the shape the caller knows.
+//! Answers to generation requests, streamed or complete, in the format of the
+//! endpoint.
 
 use std::{
     rc::Rc,
@@ -21,9 +22,9 @@
 use super::{
     Entry,
     admission::{self, Caller},
-    head,
-    outcome::{Account, Ending, Refusal},
-    prompt::{self, Ask, Shape},
+    headers,
+    outcome::{Ending, Refusal, RequestLog},
+    prompt::{self, GenerationRequest, Shape},
     relay::{Job, Relay, Step, Target},
 };
 use crate::{
@@ -32,13 +33,13 @@
     share::Reservation,
 };
 
-/// Ends a stream of events whose answer is whole.
-const DONE: &str = "data: [DONE]\n\n";
+/// Last event of a stream whose answer is complete.
+const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// A running generation with everything that ends with it.
+/// A running generation, with the state that is released when it ends.
 struct Answer {
     relay: Relay,
-    account: Account,
+    log: RequestLog,
     reservation: Reservation,
     shape: Shape,
     request: RequestId,
@@ -48,29 +49,31 @@
     tokens: u64,
 }
 
-/// `POST /v1/chat/completions` and `POST /v1/completions`.
+/// Answers `POST /v1/chat/completions` and `POST /v1/completions`.
 pub(crate) async fn generate(
     entry: Rc<Entry>,
     request: Request,
     shape: Shape,
 ) -> Response<BoxBody> {
     match admit(entry.clone(), request, shape).await {
-        Ok((answer, true)) => streamed(answer).await,
-        Ok((answer, false)) => whole(answer).await,
+        Ok((answer, true)) => stream_answer(answer).await,
+        Ok((answer, false)) => collect_answer(answer).await,
         Err(refusal) => reply::failure(&refusal.close(&entry.metrics, &entry.log)),
     }
 }
 
+/// Admits a request; returns the answer and whether it is to be streamed.
 async fn admit(
     entry: Rc<Entry>,
     request: Request,
     shape: Shape,
 ) -> Result<(Answer, bool), Refusal> {
-    let caller = admission::caller(&entry, &request)?;
+    let caller = admission::authenticate(&entry, &request)?;
     let refuse = |failure| Refusal::of(&caller, failure);
     prepare(entry, request, shape, &caller).await.map_err(refuse)
 }
 
+/// Checks the request of a known caller and reserves its tokens.
 async fn prepare(
     entry: Rc<Entry>,
     mut request: Request,
@@ -78,71 +81,73 @@
     caller: &Caller,
 ) -> Result<(Answer, bool), Failure> {
     let callers = entry.settings.callers.as_ref().expect("an entry has [callers]");
-    let deadline = head::deadline(&request, callers, clock::now())?;
+    let deadline = headers::deadline(&request, callers, clock::now())?;
     let payload = request.take_payload();
     let bytes = body::read(payload, callers.body_limit, callers.body_timeout).await?;
-    let ask = prompt::read(shape, &bytes)?;
+    let parsed = prompt::parse(shape, &bytes)?;
     let config = entry.fleet.config();
-    let version = config.version(caller.organisation, &ask.model).ok_or_else(|| {
-        let message = format!("no model {} for this access key", ask.model);
+    let version = config.version(caller.organisation, &parsed.model).ok_or_else(|| {
+        let message = format!("no model {} for this access key", parsed.model);
         Failure::not_run(Code::NotFound, message)
     })?;
     let model = config.model(version).expect("a resolved version exists");
-    let max_tokens = ask.max_tokens.unwrap_or(callers.max_tokens);
-    let prompt_tokens = ask.prompt.tokens();
+    let max_tokens = parsed.max_tokens.unwrap_or(callers.max_tokens);
+    let prompt_tokens = parsed.prompt.tokens();
     let tokens = prompt_tokens + u64::from(max_tokens);
     let reservation = entry.shares.reserve(caller.organisation, tokens).await?;
     let id = new_request_id();
-    let account = Account::open(id, caller.clone(), model.clone(), &entry);
-    let Ask { prompt, sampling, stream, .. } = ask;
+    let log = RequestLog::open(id, caller.clone(), model.clone(), &entry);
+    let GenerationRequest { prompt, sampling, stream, .. } = parsed;
     let work = Work::Generate { version, prompt, max_tokens, offset: 0, sampling };
     let job =
         Job { request: id, caller: caller.clone(), deadline, target: Target::Model(version), work };
     let answer = Answer {
         relay: Relay::new(entry, job),
-        account,
+        log,
         reservation,
         shape,
         request: id,
         model,
-        created: wall_seconds(),
+        created: unix_seconds(),
         prompt_tokens,
         tokens: 0,
     };
     Ok((answer, stream))
 }
 
-/// A random identity.
+/// Returns a random request id.
 pub(crate) fn new_request_id() -> RequestId {
     let mut id = [0; 16];
     getrandom::fill(&mut id).expect("the system's random source works");
     RequestId(id)
 }
 
-fn wall_seconds() -> u64 {
+/// Returns the wall-clock time in seconds since the Unix epoch.
+fn unix_seconds() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs())
 }
 
 impl Answer {
     async fn next(&mut self) -> Step {
         let step = self.relay.next().await;
-        self.account.on_attempt(self.relay.upstream());
+        self.log.on_attempt(self.relay.upstream());
         match &step {
             Step::Token(_) => {
-                self.account.on_token();
+                self.log.on_token();
                 self.tokens += 1;
                 self.reservation.used(self.prompt_tokens + self.tokens);
             }
             Step::Done { usage, .. } => {
                 self.reservation.used(u64::from(usage.total_tokens));
-                self.account.close(&Ending::Whole(*usage));
+                self.log.close(&Ending::Complete(*usage));
             }
-            Step::Failed(failure) => self.account.close(&Ending::Failed(failure.clone())),
+            Step::Failed(failure) => self.log.close(&Ending::Failed(failure.clone())),
             Step::Called { .. } => {}
         }
         step
     }
 
+    /// Returns the JSON of one streamed event.
     fn chunk(&self, text: &str, reason: Option<&str>, usage: Option<Usage>) -> String {
         let delta = Delta { content: text };
         let choice = match self.shape {
@@ -160,12 +165,13 @@
         self.json(object, [choice], usage)
     }
 
-    fn full(&self, text: &str, reason: &str, usage: Usage) -> String {
+    /// Returns the JSON of a complete answer.
+    fn completion(&self, text: &str, reason: &str, usage: Usage) -> String {
         let reason = Some(reason);
-        let message = FullMessage { role: "assistant", content: text };
+        let message = CompletionMessage { role: "assistant", content: text };
         match self.shape {
             Shape::Chat => {
-                let choice = FullChoice {
+                let choice = CompletionChoice {
                     index: 0,
                     message: Some(message),
                     text: None,
@@ -174,8 +180,12 @@
                 self.json("chat.completion", [choice], Some(usage))
             }
             Shape::Text => {
-                let choice =
-                    FullChoice { index: 0, message: None, text: Some(text), finish_reason: reason };
+                let choice = CompletionChoice {
+                    index: 0,
+                    message: None,
+                    text: Some(text),
+                    finish_reason: reason,
+                };
                 self.json("text_completion", [choice], Some(usage))
             }
         }
@@ -199,9 +209,10 @@
     }
 }
 
-/// A streamed answer. Its status depends on the first step, which is awaited:
-/// a refusal is an ordinary error answer, not a stream that breaks off.
-async fn streamed(mut answer: Answer) -> Response<BoxBody> {
+/// Sends the answer as a stream of events. The first step is awaited before the
+/// status is sent, so that a refusal is an ordinary error answer and not a
+/// stream that ends early.
+async fn stream_answer(mut answer: Answer) -> Response<BoxBody> {
     let first = match answer.next().await {
         Step::Failed(failure) => return reply::failure(&failure),
         step => step,
@@ -219,26 +230,27 @@
     reply::stream("text/event-stream", events)
 }
 
-/// The event of a step, and whether more follow.
+/// Returns the event of a step, and whether more events follow.
 fn event(answer: &Answer, step: &Step) -> (String, bool) {
     match step {
         Step::Token(text) => (format!("data: {}\n\n", answer.chunk(text, None, None)), true),
         Step::Done { reason, usage } => {
             let last = answer.chunk("", Some(reason), Some(*usage));
-            (format!("data: {last}\n\n{DONE}"), false)
+            (format!("data: {last}\n\n{DONE_EVENT}"), false)
         }
         Step::Failed(failure) => (format!("data: {}\n\n", reply::failure_json(failure)), false),
         Step::Called { .. } => unreachable!("a model's upstream answers with tokens"),
     }
 }
 
-async fn whole(mut answer: Answer) -> Response<BoxBody> {
+/// Collects all tokens and sends the answer as one body.
+async fn collect_answer(mut answer: Answer) -> Response<BoxBody> {
     let mut text = String::new();
     loop {
         match answer.next().await {
             Step::Token(token) => text.push_str(&token),
             Step::Done { reason, usage } => {
-                let body = answer.full(&text, &reason, usage);
+                let body = answer.completion(&text, &reason, usage);
                 return reply::json_text(StatusCode::OK, body);
             }
             Step::Failed(failure) => return reply::failure(&failure),
@@ -274,17 +286,17 @@
 }
 
 #[derive(Serialize)]
-struct FullChoice<'a> {
+struct CompletionChoice<'a> {
     index: u32,
     #[serde(skip_serializing_if = "Option::is_none")]
-    message: Option<FullMessage<'a>>,
+    message: Option<CompletionMessage<'a>>,
     #[serde(skip_serializing_if = "Option::is_none")]
     text: Option<&'a str>,
     finish_reason: Option<&'a str>,
 }
 
 #[derive(Serialize)]
-struct FullMessage<'a> {
+struct CompletionMessage<'a> {
     role: &'static str,
     content: &'a str,
 }
--- a/kingcupbayd/src/entry/mod.rs
+++ b/kingcupbayd/src/entry/mod.rs
@@ -1,10 +1,10 @@
-//! The entry: beside callers, behind the balancer.
+//! The entry, which serves callers behind the balancer.
 //!
-//! [`head`] reads what a request's headers say, [`prompt`] its body;
-//! [`admission`] decides whether it may run; [`relay`] carries it through
-//! upstream daemons, with retries and resumption; [`answer`] gives the relay's
-//! steps the shape that the caller asked for. [`call`] is the same for plain
-//! services, [`models`] lists what a key may name.
+//! [`headers`] reads the headers of a request and [`prompt`] its body.
+//! [`admission`] authenticates the caller, [`relay`] sends the request to
+//! upstream daemons, with retries and resumption, and [`answer`] converts the
+//! steps of the relay into the caller's format. [`call`] does the same for plain
+//! services, [`models`] lists the models that a key may use.
 
 use std::rc::Rc;
 
@@ -26,7 +26,7 @@
 mod admission;
 mod answer;
 mod call;
-mod head;
+mod headers;
 mod models;
 mod outcome;
 mod prompt;
@@ -49,7 +49,7 @@
 }
 
 impl Entry {
-    /// An entry that has seen no request.
+    /// Creates the state of an entry that has received no request yet.
     pub(crate) fn new(
         settings: Rc<Settings>,
         fleet: Rc<Fleet>,
@@ -73,29 +73,29 @@
         }
     }
 
-    /// Whether the balancer may send requests here.
+    /// Returns whether the balancer may send requests to this entry.
     pub(crate) fn ready(&self) -> bool {
         let now = clock::now();
         self.drain.phase() == Phase::Serving && self.fleet.may_act(now) && self.shares.ready(now)
     }
 
-    /// This entry's shares of rates.
+    /// Returns this entry's shares of the organisations' rates.
     pub(crate) fn shares(&self) -> &Rc<Shares> {
         &self.shares
     }
 
-    /// One line for each upstream, for each share, and for each request.
+    /// Returns one line for each upstream, each share and each request.
     pub(crate) fn dump(&self) -> String {
         self.routes.dump() + &self.shares.dump() + &self.active.dump(clock::now())
     }
 }
 
-/// Keeps what an entry knows of the upstreams fresh until the daemon ends.
+/// Refreshes the state of the upstreams until the daemon ends.
 pub(crate) async fn refresh_periodically(entry: Rc<Entry>) {
     route::refresh_periodically(entry).await;
 }
 
-/// Answers one request of a caller.
+/// Answers one request of a caller or of the balancer.
 pub(crate) async fn handle(entry: Rc<Entry>, request: Request) -> Response<BoxBody> {
     let path = request.path().to_owned();
     match (request.method(), path.as_str()) {
@@ -106,7 +106,9 @@
             answer::generate(entry, request, prompt::Shape::Text).await
         }
         (&Method::GET, "/v1/models") => models::list(&entry, &request),
-        (&Method::POST, path) if path.starts_with(call::PREFIX) => call::call(entry, request).await,
+        (&Method::POST, path) if path.starts_with(call::PATH_PREFIX) => {
+            call::call(entry, request).await
+        }
         (&Method::GET, "/ready") => match entry.ready() {
             true => reply::text(StatusCode::OK, "ready\n"),
             false => reply::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
--- a/kingcupbayd/src/entry/models.rs
+++ b/kingcupbayd/src/entry/models.rs
@@ -1,4 +1,4 @@
-//! The models that a key may name.
+//! List of the models that a key may use.
 
 use actix_http::{Request, Response, StatusCode, body::BoxBody};
 use serde::Serialize;
@@ -7,7 +7,7 @@
 use crate::http::reply;
 
 #[derive(Serialize)]
-struct List {
+struct ModelList {
     object: &'static str,
     data: Vec<Model>,
 }
@@ -19,9 +19,9 @@
     owned_by: String,
 }
 
-/// `GET /v1/models`.
+/// Answers `GET /v1/models`.
 pub(crate) fn list(entry: &Entry, request: &Request) -> Response<BoxBody> {
-    let caller = match admission::caller(entry, request) {
+    let caller = match admission::authenticate(entry, request) {
         Ok(caller) => caller,
         Err(failure) => return reply::failure(&failure),
     };
@@ -32,5 +32,5 @@
         .filter_map(|&version| config.model(version))
         .map(|id| Model { id, object: "model", owned_by: caller.name.clone() })
         .collect();
-    reply::json(StatusCode::OK, &List { object: "list", data })
+    reply::json(StatusCode::OK, &ModelList { object: "list", data })
 }
--- a/kingcupbayd/src/entry/outcome.rs
+++ b/kingcupbayd/src/entry/outcome.rs
@@ -1,4 +1,4 @@
-//! The closing line of each request, and what the metrics learn from it.
+//! Final log line and metrics of each request.
 
 use std::rc::Rc;
 
@@ -12,40 +12,40 @@
 use super::{Entry, admission::Caller};
 use crate::{active::Entered, clock, metrics::Metrics};
 
-/// A request between its admission and its end.
+/// Log state of a request between its admission and its end.
 ///
-/// Invariant: exactly one closing line is logged, by [`Account::close`] or by
-/// the drop, which means that the caller has left.
-pub(crate) struct Account {
+/// Invariant: exactly one final line is logged, by [`RequestLog::close`] or by
+/// the drop, which means that the caller has disconnected.
+pub(crate) struct RequestLog {
     request: RequestId,
     caller: Caller,
     model: String,
     upstream: String,
-    began: Instant,
-    first: Option<Span>,
-    last: Instant,
+    started: Instant,
+    first_token: Option<Span>,
+    last_token: Instant,
     tokens: u32,
     usage: Usage,
-    open: bool,
+    unlogged: bool,
     entered: Entered,
     metrics: Rc<Metrics>,
     log: Logger,
 }
 
-/// A request that was not admitted, with what is known of its caller.
+/// A refused request, with the name of its organisation if that is known.
 pub(crate) struct Refusal {
-    /// Name of the organisation; empty where the key told none.
+    /// Name of the organisation; empty if the key is not valid.
     organisation: String,
     failure: Failure,
 }
 
 impl Refusal {
-    /// A refusal of a caller who is known.
+    /// Creates the refusal of a request of a known caller.
     pub(crate) fn of(caller: &Caller, failure: Failure) -> Refusal {
         Refusal { organisation: caller.name.clone(), failure }
     }
 
-    /// Writes the closing line, counts the refusal, and hands the failure out.
+    /// Writes the final log line, counts the refusal, and returns the failure.
     pub(crate) fn close(self, metrics: &Metrics, log: &Logger) -> Failure {
         let code = self.failure.code.as_str();
         metrics.requests.with_label_values(&[self.organisation.as_str(), code]).inc();
@@ -64,41 +64,41 @@
 /// How a request ended.
 #[derive(Clone, Debug)]
 pub(crate) enum Ending {
-    /// The answer is whole.
-    Whole(Usage),
-    /// The request failed, and the caller was told.
+    /// The whole answer was sent.
+    Complete(Usage),
+    /// The request failed, and the failure was sent to the caller.
     Failed(Failure),
 }
 
-impl Account {
-    /// A request that has just been admitted.
+impl RequestLog {
+    /// Starts the log of a request that has just been admitted.
     pub(crate) fn open(
         request: RequestId,
         caller: Caller,
         model: String,
         entry: &Entry,
-    ) -> Account {
+    ) -> RequestLog {
         entry.metrics.streams.inc();
-        let began = clock::now();
-        let entered = entry.active.enter(request, &caller.name, &model, began);
-        Account {
+        let started = clock::now();
+        let entered = entry.active.enter(request, &caller.name, &model, started);
+        RequestLog {
             request,
             caller,
             model,
             upstream: String::new(),
-            began,
-            first: None,
-            last: began,
+            started,
+            first_token: None,
+            last_token: started,
             tokens: 0,
             usage: Usage::default(),
-            open: true,
+            unlogged: true,
             entered,
             metrics: entry.metrics.clone(),
             log: entry.log.clone(),
         }
     }
 
-    /// Names the upstream of the present attempt.
+    /// Sets the upstream of the current attempt.
     pub(crate) fn on_attempt(&mut self, upstream: &str) {
         if self.upstream != upstream {
             upstream.clone_into(&mut self.upstream);
@@ -106,40 +106,41 @@
         }
     }
 
-    /// One token went to the caller.
+    /// Counts one token sent to the caller.
     pub(crate) fn on_token(&mut self) {
         let now = clock::now();
-        let gap = now.since(self.last).as_secs_f64();
-        match self.first {
-            Some(_) => self.metrics.gap.observe(gap),
+        let pause = now.since(self.last_token).as_secs_f64();
+        match self.first_token {
+            Some(_) => self.metrics.gap.observe(pause),
             None => {
-                self.first = Some(now.since(self.began));
+                self.first_token = Some(now.since(self.started));
                 let labels = [self.caller.name.as_str()];
-                self.metrics.first_token.with_label_values(&labels).observe(gap);
+                self.metrics.first_token.with_label_values(&labels).observe(pause);
             }
         }
-        self.last = now;
+        self.last_token = now;
         self.tokens += 1;
         self.entered.on_tokens(self.tokens);
         self.metrics.tokens.inc();
     }
 
-    /// Writes the closing line.
+    /// Writes the final log line.
     pub(crate) fn close(&mut self, ending: &Ending) {
         match ending {
-            Ending::Whole(usage) => {
+            Ending::Complete(usage) => {
                 self.usage = *usage;
-                self.finish("ok");
+                self.log_end("ok");
             }
             Ending::Failed(failure) => {
                 if self.tokens > 0 {
                     self.count_undelivered();
                 }
-                self.finish(failure.code.as_str());
+                self.log_end(failure.code.as_str());
             }
         }
     }
 
+    /// Counts and logs an answer that was not delivered whole.
     fn count_undelivered(&self) {
         self.metrics.undelivered.with_label_values(&[self.caller.name.as_str()]).inc();
         warn!(self.log, ""; "event" => "undelivered", "request" => %self.request,
@@ -147,8 +148,9 @@
             "upstream" => &self.upstream, "tokens" => self.tokens);
     }
 
-    fn finish(&mut self, outcome: &str) {
-        if !std::mem::replace(&mut self.open, false) {
+    /// Writes the final log line, unless it was written already.
+    fn log_end(&mut self, outcome: &str) {
+        if !std::mem::replace(&mut self.unlogged, false) {
             return;
         }
         self.metrics.streams.dec();
@@ -158,16 +160,16 @@
             "organisation" => &self.caller.name, "adapter" => adapter, "version" => version,
             "upstream" => &self.upstream, "outcome" => outcome, "tokens" => self.tokens,
             "prompt_tokens" => self.usage.prompt_tokens, "number" => self.caller.number.0,
-            "first_ms" => self.first.map_or(0, Span::as_millis),
-            "total_ms" => clock::now().since(self.began).as_millis());
+            "first_ms" => self.first_token.map_or(0, Span::as_millis),
+            "total_ms" => clock::now().since(self.started).as_millis());
     }
 }
 
-impl Drop for Account {
+impl Drop for RequestLog {
     fn drop(&mut self) {
-        if self.open {
+        if self.unlogged {
             self.count_undelivered();
-            self.finish("caller_left");
+            self.log_end("caller_left");
         }
     }
 }
--- a/kingcupbayd/src/entry/prompt.rs
+++ b/kingcupbayd/src/entry/prompt.rs
@@ -1,4 +1,4 @@
-//! What the body of a request asks to generate.
+//! Parses the body of a generation request.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// The two shapes callers of model servers use.
+/// Format of a generation request and its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Shape {
     /// `/v1/chat/completions`.
@@ -19,8 +19,8 @@
     Text,
 }
 
-/// Fields that go to the engine as they are.
-const SAMPLING: &[&str] = &[
+/// Fields that are passed to the engine unchanged.
+const SAMPLING_FIELDS: &[&str] = &[
     "frequency_penalty",
     "logit_bias",
     "presence_penalty",
@@ -31,21 +31,21 @@
     "top_p",
 ];
 
-/// Fields that change nothing in the answer's shape or content.
-const IGNORED: &[&str] = &["metadata", "service_tier", "store", "stream_options", "user"];
+/// Fields that change neither the format nor the content of the answer.
+const IGNORED_FIELDS: &[&str] = &["metadata", "service_tier", "store", "stream_options", "user"];
 
-/// A checked body.
+/// A body that has been checked.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct GenerationRequest {
     /// Adapter and version as the caller named them.
     pub(crate) model: String,
     /// The prompt.
     pub(crate) prompt: Prompt,
-    /// Most tokens to generate, when named.
+    /// Most tokens to generate, if the caller set a limit.
     pub(crate) max_tokens: Option<u32>,
     /// Whether the answer is to be streamed.
     pub(crate) stream: bool,
-    /// Sampling fields, passed on.
+    /// Sampling fields for the engine.
     pub(crate) sampling: BTreeMap<String, Value>,
 }
 
@@ -62,43 +62,45 @@
     rest: BTreeMap<String, Value>,
 }
 
-/// Checks a body. A field that would change the answer and is not supported
-/// is refused: leaving it out silently would give another answer than asked.
-pub(crate) fn read(shape: Shape, body: &[u8]) -> Result<Ask, Failure> {
+/// Parses and checks a body. Fails if it is malformed, or if it has a field that
+/// is not supported and would change the answer: ignoring such a field would give
+/// the caller another answer than requested.
+pub(crate) fn parse(shape: Shape, body: &[u8]) -> Result<GenerationRequest, Failure> {
     let body: Body = serde_json::from_slice(body)
-        .map_err(|error| bad(format!("the body is malformed: {error}")))?;
+        .map_err(|error| bad_request(format!("the body is malformed: {error}")))?;
     let prompt = match (shape, body.messages, body.prompt) {
         (Shape::Chat, Some(messages), None) if !messages.is_empty() => Prompt::Chat(messages),
-        (Shape::Chat, ..) => return Err(bad("field messages: one message or more".into())),
+        (Shape::Chat, ..) => return Err(bad_request("field messages: one message or more".into())),
         (Shape::Text, None, Some(prompt)) => Prompt::Text(prompt),
-        (Shape::Text, ..) => return Err(bad("field prompt: one text".into())),
+        (Shape::Text, ..) => return Err(bad_request("field prompt: one text".into())),
     };
     let max_tokens = body.max_completion_tokens.or(body.max_tokens);
     if max_tokens == Some(0) {
-        return Err(bad("field max_tokens: 1 or more".into()));
+        return Err(bad_request("field max_tokens: 1 or more".into()));
     }
-    let sampling = sampling(body.rest)?;
+    let sampling = sampling_fields(body.rest)?;
     let stream = body.stream.unwrap_or(false);
-    Ok(Ask { model: body.model, prompt, max_tokens, stream, sampling })
+    Ok(GenerationRequest { model: body.model, prompt, max_tokens, stream, sampling })
 }
 
-fn sampling(rest: BTreeMap<String, Value>) -> Result<BTreeMap<String, Value>, Failure> {
-    let mut kept = BTreeMap::new();
+/// Returns the sampling fields; fails if another field is not supported.
+fn sampling_fields(rest: BTreeMap<String, Value>) -> Result<BTreeMap<String, Value>, Failure> {
+    let mut sampling = BTreeMap::new();
     for (name, value) in rest {
-        if value.is_null() || IGNORED.contains(&name.as_str()) {
+        if value.is_null() || IGNORED_FIELDS.contains(&name.as_str()) {
             continue;
         }
         if name == "n" && value == 1 {
             continue;
         }
-        if !SAMPLING.contains(&name.as_str()) {
-            return Err(bad(format!("field {name}: not supported")));
+        if !SAMPLING_FIELDS.contains(&name.as_str()) {
+            return Err(bad_request(format!("field {name}: not supported")));
         }
-        kept.insert(name, value);
+        sampling.insert(name, value);
     }
-    Ok(kept)
+    Ok(sampling)
 }
 
-fn bad(message: String) -> Failure {
+fn bad_request(message: String) -> Failure {
     Failure::not_run(Code::BadRequest, message)
 }
--- a/kingcupbayd/src/entry/relay.rs
+++ b/kingcupbayd/src/entry/relay.rs
@@ -1,9 +1,9 @@
-//! One request on its way through upstream daemons.
+//! Sends one request to upstream daemons and relays the answer.
 //!
-//! A relay yields the steps of the answer in order, whatever happens on the
-//! way: it retries before the first token, resumes by offset after it, drops
-//! frames that belong to another request, and tells a stream that went silent
-//! from one that is merely slow by the heartbeats between daemons.
+//! A relay yields the steps of the answer in order, across failures of engines
+//! and daemons. It retries before the first token, resumes by offset after it,
+//! and rejects frames that belong to another request. Heartbeats between daemons
+//! distinguish a silent stream from one that is only slow.
 
 use std::{pin::Pin, rc::Rc};
 
@@ -31,23 +31,23 @@
     http::{body, client::never_left},
 };
 
-/// When to come back if every upstream refused: a load report takes about as
-/// long to come in.
+/// When to retry if every upstream refused: about the time until the next load
+/// report arrives.
 const BUSY_RETRY: Span = Span::from_secs(1);
 
-/// Longest frame: a plain service's answer may be a megabyte or so.
-const FRAME_LIMIT: usize = 8 << 20;
+/// Longest frame in bytes; the answer of a plain service may take about 1 MB.
+const MAX_FRAME_BYTES: usize = 8 << 20;
 
 type Frames = Pin<Box<dyn Stream<Item = std::io::Result<BytesMut>>>>;
 
-/// What serves a request.
+/// Kind of upstream that serves a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Target {
     /// An adapter version.
     Model(VersionId),
     /// A plain service.
     Service {
-        /// The service.
+        /// Name of the service.
         name: Name,
         /// Whether the call runs at most once.
         once: bool,
@@ -57,13 +57,13 @@
 /// An admitted request.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
-    /// Its identity on every hop.
+    /// Identity of the request on every hop.
     pub(crate) request: RequestId,
-    /// Who asks.
+    /// The caller.
     pub(crate) caller: Caller,
     /// When the caller stops waiting.
     pub(crate) deadline: Instant,
-    /// What serves it.
+    /// What serves the request.
     pub(crate) target: Target,
     /// What to run.
     pub(crate) work: Work,
@@ -74,11 +74,11 @@
 pub(crate) enum Step {
     /// The next token.
     Token(String),
-    /// The answer is whole.
+    /// The answer is complete.
     Done {
         /// `stop` or `length`.
         reason: String,
-        /// Tokens counted.
+        /// Number of tokens used.
         usage: Usage,
     },
     /// A plain service's answer.
@@ -94,22 +94,23 @@
     Failed(Failure),
 }
 
-/// Why an attempt ended without an answer or a failure of its own.
+/// Error of an attempt that ended without an answer or a failure sent by the
+/// upstream daemon. The texts are labels of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
-enum Broken {
+enum AttemptError {
     /// The daemon could not be reached; nothing was sent.
     #[error("unreachable")]
     Unreachable,
-    /// Nothing came for too long.
+    /// No frame arrived for too long.
     #[error("silent")]
     Silent,
     /// The connection ended early.
     #[error("cut")]
-    Cut,
-    /// A frame was malformed, of another request, or out of order.
+    Disconnected,
+    /// A frame was malformed, belonged to another request, or was out of order.
     #[error("crossed")]
-    Crossed,
+    InvalidFrame,
 }
 
 struct Attempt {
@@ -118,102 +119,107 @@
     _running: Option<InFlight>,
 }
 
-/// A request on its way.
+/// A request in progress.
 pub(crate) struct Relay {
     entry: Rc<Entry>,
     job: Job,
     /// Upstreams of earlier attempts.
     tried: Vec<UpstreamId>,
-    /// Those among them that refused, or could not be reached. An upstream
-    /// that only broke off may be tried again when there is no other.
-    refused: Vec<UpstreamId>,
-    /// Why the last attempt was refused.
-    refusal: Option<Failure>,
+    /// Those among them that refused, or could not be reached. An upstream whose
+    /// answer only ended early may be tried again when there is no other.
+    refused_by: Vec<UpstreamId>,
+    /// Failure of the last attempt that was refused.
+    last_refusal: Option<Failure>,
     attempts: u32,
     attempt: Option<Attempt>,
     upstream: String,
-    /// Tokens that went to the caller; the next one has this offset.
+    /// Number of tokens sent to the caller; the next token has this offset.
     offset: u32,
-    /// Whether an attempt may have run. Once set, no failure of this request
-    /// may say "not run".
-    reached: bool,
+    /// Whether an attempt may have run. Once set, no failure of this request may
+    /// say "not run".
+    may_have_run: bool,
 }
 
 impl Relay {
-    /// A relay that has not begun.
+    /// Creates a relay that has made no attempt yet.
     pub(crate) fn new(entry: Rc<Entry>, job: Job) -> Relay {
         Relay {
             entry,
             job,
             tried: Vec::new(),
-            refused: Vec::new(),
-            refusal: None,
+            refused_by: Vec::new(),
+            last_refusal: None,
             attempts: 0,
             attempt: None,
             upstream: String::new(),
             offset: 0,
-            reached: false,
+            may_have_run: false,
         }
     }
 
-    /// The upstream of the latest attempt.
+    /// Returns the name of the upstream of the latest attempt.
     pub(crate) fn upstream(&self) -> &str {
         &self.upstream
     }
 
-    /// The next step of the answer. Dropping the future between steps is
+    /// Returns the next step of the answer. Dropping the future between steps is
     /// harmless; dropping the relay cancels the request on every hop.
     pub(crate) async fn next(&mut self) -> Step {
         loop {
-            if let Some(failure) = self.ended() {
-                return self.failed(failure);
+            if let Some(failure) = self.termination() {
+                return self.fail(failure);
             }
             let result = match self.attempt.is_some() {
-                true => self.listen().await,
-                false => self.begin().await.map(|()| None),
+                true => self.read_frame().await,
+                false => self.start_attempt().await.map(|()| None),
             };
             match result {
                 Ok(Some(step)) => return step,
                 Ok(None) => {}
-                Err(failure) => return self.failed(failure),
+                Err(failure) => return self.fail(failure),
             }
         }
     }
 
-    /// Whether the request must end now, whatever its upstream does.
-    fn ended(&self) -> Option<Failure> {
+    /// Returns the failure of a request that must end now, whatever its upstream
+    /// does.
+    fn termination(&self) -> Option<Failure> {
         let config = self.entry.fleet.config();
-        // A withdrawn key stops its running streams too: whoever holds the
-        // key would go on reading for as long as an answer lasts.
+        // A withdrawn key also stops running streams. Otherwise its holder could
+        // read on until the answer ends.
         if config.keys.get(self.job.caller.key).is_none() {
             return Some(Failure::not_run(Code::KeyWithdrawn, "the access key was withdrawn"));
         }
-        if self.left() == Span::ZERO {
+        if self.remaining() == Span::ZERO {
             return Some(Failure::not_run(Code::Deadline, "the deadline has passed"));
         }
         None
     }
 
-    fn left(&self) -> Span {
+    /// Returns the time left until the deadline.
+    fn remaining(&self) -> Span {
         self.job.deadline.since(clock::now())
     }
 
-    fn failed(&mut self, mut failure: Failure) -> Step {
-        // An attempt that is cut off here, by the deadline or a withdrawn
-        // key, may be running: its last word has not come.
-        self.reached |= self.attempt.take().is_some();
-        if failure.ran == Ran::NotRun && self.reached {
+    /// Ends the request. The failure must not say "not run" if an attempt may have
+    /// run.
+    fn fail(&mut self, mut failure: Failure) -> Step {
+        // An attempt that is ended here, by the deadline or a withdrawn key, may
+        // still be running: its last frame has not arrived.
+        self.may_have_run |= self.attempt.take().is_some();
+        if failure.ran == Ran::NotRun && self.may_have_run {
             failure.ran = if self.offset > 0 { Ran::Ran } else { Ran::Unknown };
         }
         Step::Failed(failure)
     }
 
-    /// Starts an attempt on an upstream that was not tried yet.
-    async fn begin(&mut self) -> Result<(), Failure> {
-        let chosen = self.choose(&self.tried).or_else(|| self.choose(&self.refused));
+    /// Starts an attempt on an upstream that was not tried yet or, if there is
+    /// none, on one that has not refused.
+    async fn start_attempt(&mut self) -> Result<(), Failure> {
+        let chosen = self.choose(&self.tried).or_else(|| self.choose(&self.refused_by));
         let Some(upstream) = chosen else {
             let failure = Failure::not_run(Code::NoUpstream, "no upstream can take the request");
-            let mut failure = self.refusal.take().unwrap_or(failure);
+            let mut failure = self.last_refusal.take().unwrap_or(failure);
             failure.retry_after.get_or_insert(BUSY_RETRY);
             return Err(failure);
         };
@@ -227,7 +233,7 @@
         self.upstream = row.name.to_string();
         // An upstream may be declared before its host's daemon has joined.
         let Some((_, member)) = config.member(&row.host) else {
-            return self.broken(Broken::Unreachable, "");
+            return self.on_attempt_error(AttemptError::Unreachable, "");
         };
         let address = member.address.clone();
         match self.send(upstream, &address).await {
@@ -236,18 +242,21 @@
                 self.attempt = Some(Attempt { frames, address, _running: running });
                 Ok(())
             }
-            Err(broken) => self.broken(broken, &address),
+            Err(error) => self.on_attempt_error(error, &address),
         }
     }
 
+    /// Chooses an upstream for the target, other than those `tried`.
     fn choose(&self, tried: &[UpstreamId]) -> Option<UpstreamId> {
         match &self.job.target {
-            Target::Model(version) => self.entry.routes.model(*version, tried),
-            Target::Service { name, .. } => self.entry.routes.service(name, tried),
+            Target::Model(version) => self.entry.routes.choose_for_model(*version, tried),
+            Target::Service { name, .. } => self.entry.routes.choose_for_service(name, tried),
         }
     }
 
-    async fn send(&mut self, upstream: UpstreamId, address: &str) -> Result<Frames, Broken> {
+    /// Sends the request to an upstream daemon and returns the frames of its
+    /// answer.
+    async fn send(&mut self, upstream: UpstreamId, address: &str) -> Result<Frames, AttemptError> {
         let mut work = self.job.work.clone();
         if let Work::Generate { offset, .. } = &mut work {
             *offset = self.offset;
@@ -257,14 +266,14 @@
             organisation: self.job.caller.organisation,
             number: self.job.caller.number,
             upstream,
-            left: self.left(),
+            left: self.remaining(),
             work,
         };
         let body = rmp_serde::to_vec(&run).expect("an order serialises");
         let url = format!("http://{address}/run");
-        // A pooled connection may be dead already. Other work is tried again;
-        // this call would count as lost, with nobody able to say otherwise.
-        let client = match self.once() {
+        // A pooled connection may be dead already. Other work is retried, but a
+        // call that runs at most once would count as lost, its outcome unknown.
+        let client = match self.runs_once() {
             true => self.entry.clients.unpooled(),
             false => self.entry.clients.get(address),
         };
@@ -274,34 +283,37 @@
             Ok(Ok(response)) if response.status().is_success() => {
                 let bytes = response.map_err(std::io::Error::other);
                 let codec =
-                    LengthDelimitedCodec::builder().max_frame_length(FRAME_LIMIT).new_codec();
+                    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
                 Ok(Box::pin(FramedRead::new(StreamReader::new(bytes), codec)))
             }
-            Ok(Ok(_)) => Err(Broken::Unreachable),
-            Ok(Err(error)) if never_left(&error) => Err(Broken::Unreachable),
-            Ok(Err(_)) => Err(Broken::Cut),
-            Err(_) => Err(Broken::Silent),
+            Ok(Ok(_)) => Err(AttemptError::Unreachable),
+            Ok(Err(error)) if never_left(&error) => Err(AttemptError::Unreachable),
+            Ok(Err(_)) => Err(AttemptError::Disconnected),
+            Err(_) => Err(AttemptError::Silent),
         }
     }
 
-    /// Waits for the next frame of the present attempt.
-    async fn listen(&mut self) -> Result<Option<Step>, Failure> {
+    /// Waits for the next frame of the current attempt.
+    async fn read_frame(&mut self) -> Result<Option<Step>, Failure> {
         let silence = self.entry.settings.tuning.silence;
-        let limit = silence.min(self.left());
+        let limit = silence.min(self.remaining());
         let attempt = self.attempt.as_mut().expect("listen follows begin");
         let address = attempt.address.clone();
         let frame = match tokio::time::timeout(limit.into(), attempt.frames.next()).await {
-            // The deadline, not the silence: the loop ends the request.
+            // The deadline passed, not the silence limit: `next` ends the
+            // request.
             Err(_) if limit < silence => return Ok(None),
-            Err(_) => return self.broken(Broken::Silent, &address).map(|()| None),
-            Ok(None | Some(Err(_))) => return self.broken(Broken::Cut, &address).map(|()| None),
+            Err(_) => return self.on_attempt_error(AttemptError::Silent, &address).map(|()| None),
+            Ok(None | Some(Err(_))) => {
+                return self.on_attempt_error(AttemptError::Disconnected, &address).map(|()| None);
+            }
             Ok(Some(Ok(bytes))) => rmp_serde::from_slice::<Frame>(&bytes),
         };
-        // An answer that belongs to another request must not reach this
-        // caller; where one came, the connection cannot be trusted further.
+        // An answer that belongs to another request must not reach this caller.
+        // A connection that delivered one cannot be trusted any more.
         match frame {
             Ok(frame) if frame.request == self.job.request => self.on_event(frame.event, &address),
-            _ => self.broken(Broken::Crossed, &address).map(|()| None),
+            _ => self.on_attempt_error(AttemptError::InvalidFrame, &address).map(|()| None),
         }
     }
 
@@ -309,40 +321,40 @@
         match event {
             RunEvent::Heartbeat => Ok(None),
             RunEvent::Started => {
-                self.reached = true;
+                self.may_have_run = true;
                 Ok(None)
             }
             RunEvent::Token { offset, .. } if offset < self.offset => Ok(None),
             RunEvent::Token { offset, .. } if offset > self.offset => {
-                self.broken(Broken::Crossed, address).map(|()| None)
+                self.on_attempt_error(AttemptError::InvalidFrame, address).map(|()| None)
             }
             RunEvent::Token { text, .. } => {
-                self.reached = true;
+                self.may_have_run = true;
                 self.offset += 1;
                 Ok(Some(Step::Token(text)))
             }
             RunEvent::Done { reason, usage } => {
-                self.release();
+                self.finish_attempt();
                 Ok(Some(Step::Done { reason, usage }))
             }
             RunEvent::Called { status, body, replayed } => {
-                self.release();
+                self.finish_attempt();
                 Ok(Some(Step::Called { status, body, replayed }))
             }
-            RunEvent::Failed(failure) => self.refused(failure).map(|()| None),
+            RunEvent::Failed(failure) => self.on_failure(failure).map(|()| None),
         }
     }
 
-    /// Ends the attempt whose last frame came, and keeps its connection.
-    fn release(&mut self) {
+    /// Ends the attempt after its last frame, and keeps its connection.
+    fn finish_attempt(&mut self) {
         if let Some(Attempt { frames, .. }) = self.attempt.take() {
             actix_rt::spawn(body::exhaust(frames));
         }
     }
 
-    /// The upstream daemon gave a reason. Where it provably did not run the
-    /// request, another upstream may.
-    fn refused(&mut self, failure: Failure) -> Result<(), Failure> {
+    /// Handles a failure sent by the upstream daemon. If it provably did not run
+    /// the request, or the work may be repeated, another attempt may follow.
+    fn on_failure(&mut self, failure: Failure) -> Result<(), Failure> {
         self.attempt = None;
         let elsewhere = matches!(
             failure.code,
@@ -360,28 +372,29 @@
         }
         let not_run = failure.ran == Ran::NotRun;
         if not_run {
-            self.refused.extend(self.tried.last());
+            self.refused_by.extend(self.tried.last());
         }
         if elsewhere && self.may_retry(not_run) {
             self.count_retry(failure.code.as_str());
-            self.refusal = Some(failure);
+            self.last_refusal = Some(failure);
             return Ok(());
         }
         Err(failure)
     }
 
-    /// The attempt ended without a word. Generation goes on elsewhere; a call
-    /// that must not run twice does so only when nothing was sent.
-    fn broken(&mut self, broken: Broken, address: &str) -> Result<(), Failure> {
+    /// Handles an attempt that ended without a failure from the upstream daemon.
+    /// Generation continues on another upstream. A call that runs at most once is
+    /// retried only if nothing was sent.
+    fn on_attempt_error(&mut self, error: AttemptError, address: &str) -> Result<(), Failure> {
         self.attempt = None;
         self.entry.clients.forget(address);
-        let not_run = broken == Broken::Unreachable;
+        let not_run = error == AttemptError::Unreachable;
         if not_run {
-            self.refused.extend(self.tried.last());
+            self.refused_by.extend(self.tried.last());
             self.tried.last().inspect(|&&upstream| self.entry.routes.on_unreachable(upstream));
         } else {
-            self.reached = true;
-            if self.once() {
+            self.may_have_run = true;
+            if self.runs_once() {
                 return Err(Failure {
                     code: Code::OutcomeUnknown,
                     ran: Ran::Unknown,
@@ -392,24 +405,25 @@
             }
         }
         if !self.may_retry(not_run) {
-            let message = format!("the upstream's daemon is {broken}");
+            let message = format!("the upstream's daemon is {error}");
             let failure = Failure::not_run(Code::UpstreamFailed, message);
             return Err(failure.after(BUSY_RETRY));
         }
-        self.count_retry(&broken.to_string());
+        self.count_retry(&error.to_string());
         Ok(())
     }
 
-    fn once(&self) -> bool {
+    /// Returns whether the request is a call that runs at most once.
+    fn runs_once(&self) -> bool {
         matches!(self.job.target, Target::Service { once: true, .. })
     }
 
-    /// Whether another attempt may follow one that failed.
+    /// Returns whether another attempt may follow one that failed.
     fn may_retry(&self, not_run: bool) -> bool {
         let kind = match &self.job.target {
             Target::Model(_) => Kind::Generate,
             Target::Service { once: false, .. } => Kind::Call,
-            // Nothing was claimed yet where nothing was run.
+            // A call that did not run has no claim yet.
             Target::Service { once: true, .. } if not_run => Kind::Call,
             Target::Service { once: true, .. } => Kind::Once,
         };
