--- a/kingcupbayd/src/fleet/accept.rs
+++ b/kingcupbayd/src/fleet/accept.rs
@@ -1,4 +1,5 @@
-//! Taking of patches: the core's acceptance, carried out.
+//! Accepts patches of operators: executes the steps of the core's
+//! [`Acceptance`].
 
 use std::rc::Rc;
 
@@ -13,78 +14,80 @@
 use super::Fleet;
 use crate::{clock, store::table::TableError};
 
-/// Time for a patch to be held by enough members. Longer than the freshness
-/// bound, so that a member that has just died has not vouched for that long.
-const ACCEPT_TIME: Span = Span::from_secs(8);
+/// Longest time until enough members hold a patch. Longer than the freshness
+/// bound, so that by its end the confirmations of a member that has just died
+/// have lapsed.
+const ACCEPT_TIMEOUT: Span = Span::from_secs(8);
 
-/// Pause between two looks at who holds the patch: some round trips.
-const PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
+/// Pause between two checks of which members hold the patch; a few round trips.
+const POLL_PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
 
-/// What became of a patch.
+/// Outcome of a patch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum PatchOutcome {
-    /// In the table under this number.
+    /// The patch is in the table.
     Taken {
-        /// Its number.
+        /// Number of the configuration that it made.
         number: Number,
-        /// Whether no daemon with standing can miss it any more.
+        /// Whether it is certain that every daemon with standing has the patch.
         acknowledged: bool,
     },
-    /// Refused, nothing changed.
+    /// The patch was refused and nothing has changed.
     Refused(PatchError),
-    /// Not taken: the table cannot be reached, or the patch before this one
-    /// is not known widely enough.
+    /// The patch was not written: the table cannot be reached, or not enough
+    /// members hold the patch before this one.
     NotTaken(String),
-    /// The write may have taken effect; repeating the same patch tells.
+    /// The write may have taken effect. Repeating the same patch resolves it.
     Unknown(String),
 }
 
 impl Fleet {
-    /// Takes an operator's patch. A repeat of a patch already taken is
-    /// answered with its number, and changes nothing.
+    /// Accepts an operator's patch. A repeat of a patch that is already in the
+    /// table returns its number and changes nothing.
     pub(crate) async fn patch(self: &Rc<Fleet>, patch: &Patch) -> PatchOutcome {
         let mut acceptance = Acceptance::new(patch);
-        let since = clock::now();
-        let mut why = "the patch before it is not held by enough members".to_owned();
+        let started = clock::now();
+        let mut reason = "the patch before it is not held by enough members".to_owned();
         if let Err(error) = self.refresh().await {
             return PatchOutcome::NotTaken(error.to_string());
         }
         if let Some(refusal) = self.refusal(patch) {
             return PatchOutcome::Refused(refusal);
         }
-        while clock::now().since(since) <= ACCEPT_TIME {
+        while clock::now().since(started) <= ACCEPT_TIMEOUT {
             let step = acceptance.next_step(self.gossip.borrow().standing());
-            let done = match step {
+            let result = match step {
                 Step::Acknowledge(number) => {
-                    self.keep_snapshot(number).await;
+                    self.store_snapshot_if_due(number).await;
                     return PatchOutcome::Taken { number, acknowledged: true };
                 }
-                Step::Stale => return self.stale(patch).await,
-                Step::Wait => self.settle().await,
+                Step::Stale => return self.stale_refusal(patch).await,
+                Step::Wait => self.wait_for_holders().await,
                 Step::CatchUp => self.refresh().await,
                 Step::Write => self.write(patch, &mut acceptance).await,
                 Step::Resolve(number) => {
-                    self.writer_of(number).await.map(|found| acceptance.resolve(found))
+                    self.patch_id_at(number).await.map(|found| acceptance.resolve(found))
                 }
             };
-            if let Err(error) = done {
-                why = error.to_string();
-                // Nothing is in doubt yet, so there is nothing to stay for.
+            if let Err(error) = result {
+                reason = error.to_string();
+                // Nothing was written, so the outcome is certain and there is no
+                // need to go on.
                 if acceptance.outcome() == WriteOutcome::NotWritten {
-                    return PatchOutcome::NotTaken(why);
+                    return PatchOutcome::NotTaken(reason);
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(POLL_PAUSE).await;
             }
         }
         match acceptance.outcome() {
             WriteOutcome::Taken(number) => PatchOutcome::Taken { number, acknowledged: false },
-            WriteOutcome::NotWritten => PatchOutcome::NotTaken(why),
-            WriteOutcome::Unknown => PatchOutcome::Unknown(why),
+            WriteOutcome::NotWritten => PatchOutcome::NotTaken(reason),
+            WriteOutcome::Unknown => PatchOutcome::Unknown(reason),
         }
     }
 
-    /// Why `patch` cannot be taken whatever comes. A stale one is not refused
-    /// here: it may be a repeat.
+    /// Returns why `patch` can never be accepted. A stale patch is not refused
+    /// here, because it may be a repeat.
     fn refusal(&self, patch: &Patch) -> Option<PatchError> {
         match check_patch(&self.config(), patch) {
             Err(PatchError::Stale { against, current }) if against < current => None,
@@ -92,22 +95,26 @@
         }
     }
 
-    async fn stale(self: &Rc<Fleet>, patch: &Patch) -> PatchOutcome {
-        // The number in the answer is what the operator starts anew from.
+    /// Returns the refusal of a stale patch, with the newest number.
+    async fn stale_refusal(self: &Rc<Fleet>, patch: &Patch) -> PatchOutcome {
+        // The operator makes the next patch against the number in the answer.
         let _ = self.refresh().await;
         let (against, current) = (patch.against, self.number());
         PatchOutcome::Refused(PatchError::Stale { against, current })
     }
 
-    async fn settle(self: &Rc<Fleet>) -> Result<(), TableError> {
+    /// Pulls from every member that is not known to hold the current number, then
+    /// pauses.
+    async fn wait_for_holders(self: &Rc<Fleet>) -> Result<(), TableError> {
         let actions = self.gossip.borrow_mut().pull_missing(clock::now());
-        self.act(actions);
-        tokio::time::sleep(PAUSE).await;
+        self.execute(actions);
+        tokio::time::sleep(POLL_PAUSE).await;
         Ok(())
     }
 
+    /// Makes one attempt to write the patch into the table.
     async fn write(&self, patch: &Patch, acceptance: &mut Acceptance) -> Result<(), TableError> {
-        let (head, revision) = self.head().await?;
+        let (head, revision) = self.fetch_head().await?;
         acceptance.begin_write();
         if head.number != patch.against {
             acceptance.finish_write(Some(&TxnAnswer::Conflict(Vec::new())));
--- a/kingcupbayd/src/fleet/mod.rs
+++ b/kingcupbayd/src/fleet/mod.rs
@@ -1,8 +1,9 @@
-//! What this daemon knows of the configuration, and whether it may act on it.
+//! The configuration as this daemon knows it, and whether it may act on it.
 //!
-//! [`Fleet`] holds the configuration and the core's gossip, which decides whom
-//! to ask and when. [`table`] reads the platform's table and object store,
-//! [`peer`] speaks with other daemons, [`accept`] takes patches.
+//! [`Fleet`] holds the configuration and the core's gossip, which decides when to
+//! pull from which peer. [`table`] reads and writes the platform's table and
+//! object store, [`peer`] exchanges messages with other daemons, [`accept`]
+//! accepts patches.
 
 mod accept;
 mod peer;
@@ -35,20 +36,20 @@
 pub(crate) use peer::{handle_pull, handle_snapshot};
 pub(crate) use table::{decode, encode};
 
-/// Age of the newest proof after which this daemon starts nothing new.
+/// Age of the newest proof of freshness after which a daemon starts nothing new.
 pub(crate) const FRESHNESS: Span = FRESHNESS_BOUND;
 
-/// Pause between two looks at what is due; a fifth of the pull period.
-const LOOK: Span = Span::from_millis(50);
+/// Period of gossip ticks: a fifth of the pull period.
+const TICK_PERIOD: Span = Span::from_millis(50);
 
 /// The configuration as this daemon knows it.
 ///
-/// Invariant: `config` has the number that `gossip` stands on.
+/// Invariant: the numbers of `config` and of the standing in `gossip` are equal.
 pub(crate) struct Fleet {
     config: RefCell<Rc<Config>>,
     gossip: RefCell<Gossip>,
-    /// Whether a read of the table is on its way that nobody waits for.
-    reading: Cell<bool>,
+    /// Whether a background read of the table is in progress.
+    refreshing: Cell<bool>,
     table: Table,
     objects: Objects,
     clients: Clients,
@@ -57,8 +58,8 @@
 }
 
 impl Fleet {
-    /// A daemon that knows nothing yet and may not act. `incarnation` is drawn
-    /// at random at each start.
+    /// Creates the state of a daemon that has no configuration yet and may not
+    /// act. `incarnation` is drawn at random at each start.
     pub(crate) fn new(
         settings: &Settings,
         incarnation: u64,
@@ -73,18 +74,27 @@
         let standing = Standing::new(standing::Settings::default());
         let gossip = RefCell::new(Gossip::new(settings, standing, incarnation, incarnation));
         let config = RefCell::new(Rc::new(Config::default()));
-        Fleet { config, gossip, reading: Cell::new(false), table, objects, clients, metrics, log }
+        Fleet {
+            config,
+            gossip,
+            refreshing: Cell::new(false),
+            table,
+            objects,
+            clients,
+            metrics,
+            log,
+        }
     }
 
-    /// The configuration in use.
+    /// Returns the configuration in use.
     pub(crate) fn config(&self) -> Rc<Config> {
         self.config.borrow().clone()
     }
 
-    /// The newest number that no daemon with standing misses for longer than
-    /// the freshness bound: the one held here once it is settled. What was
-    /// merely read from the table is not, because peers that vouch for each
-    /// other may act under the number before.
+    /// Returns the newest number that no daemon with standing lacks for longer
+    /// than the freshness bound. That is the number held here once it is stable.
+    /// Before that, peers that confirm each other may still act under the
+    /// previous number, even if this daemon has read the new one from the table.
     pub(crate) fn in_force(&self) -> Number {
         let gossip = self.gossip.borrow();
         let number = gossip.standing().number();
@@ -94,36 +104,38 @@
         }
     }
 
-    /// Tells the other daemons this one's record of a topic.
+    /// Publishes this daemon's record of a topic to the other daemons.
     pub(crate) fn publish(&self, topic: Topic, body: Bytes) {
         self.gossip.borrow_mut().records_mut().publish(topic, body);
     }
 
-    /// The records of a topic, each with its member and version.
+    /// Returns the records of a topic, each with its member and version.
     pub(crate) fn records(&self, topic: Topic) -> Vec<(MemberId, u32, Bytes)> {
         let gossip = self.gossip.borrow();
         let records = gossip.records().by_topic(topic).iter();
         records.map(|(&id, record)| (id, record.sequence, record.body.clone())).collect()
     }
 
-    /// Whether this daemon may act on what it knows. Asked at each use, since
-    /// the process may have been suspended since the last answer.
+    /// Returns whether this daemon may act on its configuration. Must be called
+    /// at each use, because the process may have been suspended since the last
+    /// call.
     pub(crate) fn may_act(&self, now: Instant) -> bool {
         self.gossip.borrow().standing().may_act(now)
     }
 
-    /// Whether a read of the table has shown this daemon's own join.
+    /// Returns whether a read of the table has shown this daemon's own join.
     pub(crate) fn is_member(&self) -> bool {
         self.gossip.borrow().standing().own_confirmation().is_some()
     }
 
-    /// Whether this daemon's own join is in force, and its predecessor's
-    /// membership so over for everybody with standing.
+    /// Returns whether this daemon's own join is in force. Then the membership of
+    /// its predecessor has ended for every daemon with standing.
     pub(crate) fn is_joined(&self) -> bool {
         self.is_member() && self.in_force() == self.number()
     }
 
-    /// Reads until this daemon knows `number` or newer.
+    /// Reads the table if this daemon does not know `number` yet. Returns whether
+    /// it now knows `number` or a newer one.
     pub(crate) async fn catch_up(self: &Rc<Fleet>, number: Number) -> bool {
         if self.number() < number {
             let _ = self.refresh().await;
@@ -135,7 +147,7 @@
         self.config.borrow().number
     }
 
-    /// Takes a newer configuration into use; numbers never go back.
+    /// Replaces the configuration by a newer one. An older one is ignored.
     fn adopt(&self, config: Config) {
         if config.number <= self.number() {
             return;
@@ -147,8 +159,8 @@
         *self.config.borrow_mut() = Rc::new(config);
     }
 
-    /// Carries out what gossip decided.
-    fn act(self: &Rc<Fleet>, actions: Vec<Action>) {
+    /// Executes actions of the gossip.
+    fn execute(self: &Rc<Fleet>, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::SendPull { id, to, pull } => {
@@ -157,19 +169,19 @@
                 Action::FetchSnapshot { from } => {
                     actix_rt::spawn(peer::fetch_snapshot(self.clone(), from));
                 }
-                Action::ReadHead => self.read_head(),
+                Action::ReadHead => self.spawn_refresh(),
                 Action::Adopt(config) => self.adopt(*config),
             }
         }
     }
 }
 
-/// Keeps the configuration fresh until the daemon ends.
+/// Refreshes the configuration until the daemon ends.
 pub(crate) async fn run(fleet: Rc<Fleet>, settings: Rc<Settings>) {
-    let pause = LOOK.min(settings.tuning.read_period);
+    let pause = TICK_PERIOD.min(settings.tuning.read_period);
     loop {
         let actions = fleet.gossip.borrow_mut().tick(clock::now());
-        fleet.act(actions);
+        fleet.execute(actions);
         fleet.metrics.standing.set(i64::from(fleet.may_act(clock::now())));
         tokio::time::sleep(pause.into()).await;
     }
--- a/kingcupbayd/src/fleet/peer.rs
+++ b/kingcupbayd/src/fleet/peer.rs
@@ -1,4 +1,4 @@
-//! Pulls between daemons, as MessagePack over HTTP.
+//! Client and server of pulls between daemons, as MessagePack over HTTP.
 
 use std::rc::Rc;
 
@@ -23,20 +23,21 @@
     http::{body, reply},
 };
 
-/// Time for a pull's answer. A connection that went silent for good shows by
-/// this alone; it then leaves the pool and the next pull opens another.
-const PULL_TIME: Span = Span::from_secs(1);
+/// Longest time to receive a pull or its answer. Only this timeout detects a
+/// connection that has gone silent for good. It is then removed from the pool,
+/// and the next pull opens another.
+const PULL_TIMEOUT: Span = Span::from_secs(1);
 
-/// Time for a whole configuration.
-const SNAPSHOT_TIME: Span = Span::from_secs(30);
+/// Longest time to receive a whole configuration.
+const SNAPSHOT_TIMEOUT: Span = Span::from_secs(30);
 
-/// Longest pull; the list of known records of 340 members has some 2 KB.
-const PULL_LIMIT: usize = 1 << 20;
+/// Longest pull; the list of known records of 340 members takes about 2 KB.
+const MAX_PULL_BYTES: usize = 1 << 20;
 
-/// Longest answer: patches of declarations are large.
-const ANSWER_LIMIT: usize = 64 << 20;
+/// Longest answer; patches of declarations are large.
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// Why a peer gave no answer.
+/// Error of a request to a peer.
 #[derive(Debug)]
 #[derive(Error)]
 enum PeerError {
@@ -48,16 +49,16 @@
     Failed(String),
 }
 
-/// Sends a pull and hands its answer to gossip.
+/// Sends a pull and passes its answer to the gossip.
 pub(super) async fn pull(fleet: Rc<Fleet>, id: PullId, to: MemberId, pull: Pull) {
     let body = rmp_serde::to_vec(&pull).expect("a pull serialises");
-    match ask::<Answer>(&fleet, to, PULL_PATH, body, PULL_TIME).await {
+    match request_from::<Answer>(&fleet, to, PULL_PATH, body, PULL_TIMEOUT).await {
         Ok(answer) => {
             let config = fleet.config();
             let mut gossip = fleet.gossip.borrow_mut();
             let actions = gossip.handle_answer(clock::now(), id, answer, &config);
             drop(gossip);
-            fleet.act(actions);
+            fleet.execute(actions);
         }
         Err(error) => {
             fleet.gossip.borrow_mut().forget_pull(id);
@@ -66,12 +67,13 @@
     }
 }
 
-/// Fetches a peer's whole configuration.
+/// Fetches the whole configuration of a peer and passes it to the gossip.
 pub(super) async fn fetch_snapshot(fleet: Rc<Fleet>, from: MemberId) {
-    match ask::<Snapshot>(&fleet, from, SNAPSHOT_PATH, Vec::new(), SNAPSHOT_TIME).await {
+    match request_from::<Snapshot>(&fleet, from, SNAPSHOT_PATH, Vec::new(), SNAPSHOT_TIMEOUT).await
+    {
         Ok(snapshot) => {
             let actions = fleet.gossip.borrow_mut().restore(snapshot);
-            fleet.act(actions);
+            fleet.execute(actions);
         }
         Err(error) => {
             warn!(fleet.log, ""; "event" => "snapshot_unfetched", "member" => %from,
@@ -80,16 +82,18 @@
     }
 }
 
-async fn ask<T: DeserializeOwned>(
+/// Sends a request to a member and decodes its answer. On any error the pooled
+/// connections to the member are dropped.
+async fn request_from<T: DeserializeOwned>(
     fleet: &Fleet,
     to: MemberId,
     path: &str,
     body: Vec<u8>,
-    time: Span,
+    limit: Span,
 ) -> Result<T, PeerError> {
     let config = fleet.config();
     let address = &config.members.get(to).ok_or(PeerError::Unknown)?.address;
-    let answer = tokio::time::timeout(time.into(), exchange(fleet, address, path, body)).await;
+    let answer = tokio::time::timeout(limit.into(), post(fleet, address, path, body)).await;
     let answer = answer.unwrap_or(Err(PeerError::Timeout));
     if answer.is_err() {
         fleet.clients.forget(address);
@@ -97,25 +101,20 @@
     rmp_serde::from_slice(&answer?).map_err(|error| PeerError::Failed(error.to_string()))
 }
 
-async fn exchange(
-    fleet: &Fleet,
-    address: &str,
-    path: &str,
-    body: Vec<u8>,
-) -> Result<Bytes, PeerError> {
+async fn post(fleet: &Fleet, address: &str, path: &str, body: Vec<u8>) -> Result<Bytes, PeerError> {
     let url = format!("http://{address}{path}");
     let sent = fleet.clients.get(address).post(url).send_body(body).await;
     let mut response = sent.map_err(|error| PeerError::Failed(error.to_string()))?;
     if !response.status().is_success() {
         return Err(PeerError::Failed(response.status().to_string()));
     }
-    let body = response.body().limit(ANSWER_LIMIT).await;
+    let body = response.body().limit(MAX_ANSWER_BYTES).await;
     body.map_err(|error| PeerError::Failed(error.to_string()))
 }
 
 /// Answers a pull of another daemon.
 pub(crate) async fn handle_pull(fleet: Rc<Fleet>, mut request: Request) -> Response<BoxBody> {
-    let bytes = match body::read(request.take_payload(), PULL_LIMIT, PULL_TIME).await {
+    let bytes = match body::read(request.take_payload(), MAX_PULL_BYTES, PULL_TIMEOUT).await {
         Ok(bytes) => bytes,
         Err(failure) => return reply::failure(&failure),
     };
@@ -127,16 +126,16 @@
         }
     };
     let (answer, actions) = fleet.gossip.borrow_mut().answer_pull(clock::now(), &pull);
-    fleet.act(actions);
-    packed(rmp_serde::to_vec(&answer).expect("an answer serialises"))
+    fleet.execute(actions);
+    ok_response(rmp_serde::to_vec(&answer).expect("an answer serialises"))
 }
 
-/// Answers with the whole configuration.
+/// Answers a request for the whole configuration.
 pub(crate) fn handle_snapshot(fleet: &Fleet) -> Response<BoxBody> {
     let snapshot = fleet.gossip.borrow().snapshot(&fleet.config());
-    packed(rmp_serde::to_vec(&snapshot).expect("a configuration serialises"))
+    ok_response(rmp_serde::to_vec(&snapshot).expect("a configuration serialises"))
 }
 
-fn packed(body: Vec<u8>) -> Response<BoxBody> {
+fn ok_response(body: Vec<u8>) -> Response<BoxBody> {
     Response::build(StatusCode::OK).body(body).map_into_boxed_body()
 }
--- a/kingcupbayd/src/fleet/table.rs
+++ b/kingcupbayd/src/fleet/table.rs
@@ -1,4 +1,4 @@
-//! The configuration in the platform's table and object store.
+//! Reads and writes the configuration in the platform's table and object store.
 
 use std::rc::Rc;
 
@@ -14,17 +14,17 @@
 use super::Fleet;
 use crate::{clock, store::table::TableError};
 
-/// Most patches read in one step.
-const DELTAS: usize = 256;
+/// Most patches read by one request.
+const DELTAS_PER_READ: usize = 256;
 
-/// Patches after which the writer stores a snapshot.
-const SNAPSHOT_EVERY: u64 = 64;
+/// Number of patches after which the writer stores a snapshot.
+const PATCHES_PER_SNAPSHOT: u64 = 64;
 
 impl Fleet {
-    /// Reads the head and everything after what is known.
+    /// Reads the head and all patches newer than the known configuration.
     pub(crate) async fn refresh(self: &Rc<Fleet>) -> Result<(), TableError> {
         let sent = clock::now();
-        let (head, _) = self.head().await?;
+        let (head, _) = self.fetch_head().await?;
         if self.number() == Number(0) && head.snapshot > Number(0) {
             self.load_snapshot(head.snapshot).await;
         }
@@ -35,13 +35,13 @@
         let mut gossip = self.gossip.borrow_mut();
         let actions = gossip.handle_head_read(clock::now(), sent, head.number, &config);
         drop(gossip);
-        self.act(actions);
+        self.execute(actions);
         Ok(())
     }
 
-    /// Reads the head without anyone waiting for it, one read at a time.
-    pub(super) fn read_head(self: &Rc<Fleet>) {
-        if self.reading.replace(true) {
+    /// Refreshes in the background, at most one read at a time.
+    pub(super) fn spawn_refresh(self: &Rc<Fleet>) {
+        if self.refreshing.replace(true) {
             return;
         }
         let fleet = self.clone();
@@ -49,36 +49,41 @@
             if let Err(error) = fleet.refresh().await {
                 warn!(fleet.log, ""; "event" => "table_unread", "error" => %error);
             }
-            fleet.reading.set(false);
+            fleet.refreshing.set(false);
         });
     }
 
-    /// The head row's content and revision; a new table has none.
-    pub(super) async fn head(&self) -> Result<(Head, u64), TableError> {
+    /// Returns the content and the revision of the head row, or defaults if the
+    /// table is new.
+    pub(super) async fn fetch_head(&self) -> Result<(Head, u64), TableError> {
         let rows = self.table.read(&Read::Keys(vec![HEAD_KEY.to_owned()])).await?;
         Ok(rows.rows.first().map(|row| (decode(row), row.revision)).unwrap_or_default())
     }
 
-    /// Id of the patch that made `number`.
-    pub(super) async fn writer_of(&self, number: Number) -> Result<Option<RequestId>, TableError> {
+    /// Returns the id of the patch that made `number`.
+    pub(super) async fn patch_id_at(
+        &self,
+        number: Number,
+    ) -> Result<Option<RequestId>, TableError> {
         let rows = self.table.read(&Read::Keys(vec![delta_key(number)])).await?;
         Ok(rows.rows.first().map(|row| decode::<Patch>(row).id))
     }
 
+    /// Restores the snapshot of `number` from the object store, if it is there.
     async fn load_snapshot(self: &Rc<Fleet>, number: Number) {
         let loaded = self.objects.get(&snapshot_key(number)).await;
         match loaded {
             Ok(Some(bytes)) => match rmp_serde::from_slice::<Snapshot>(&bytes) {
                 Ok(snapshot) => {
                     let actions = self.gossip.borrow_mut().restore(snapshot);
-                    self.act(actions);
+                    self.execute(actions);
                 }
                 Err(error) => {
                     warn!(self.log, ""; "event" => "snapshot_unreadable", "number" => number.0,
                         "error" => %error);
                 }
             },
-            // Without the snapshot the patches since the beginning do.
+            // Without the snapshot, all patches since the beginning are read.
             Ok(None) => {}
             Err(error) => {
                 warn!(self.log, ""; "event" => "snapshot_unread", "number" => number.0, "error" => %error);
@@ -86,10 +91,11 @@
         }
     }
 
+    /// Reads and applies the next patches.
     async fn load_deltas(&self) -> Result<(), TableError> {
         let from = delta_key(self.number().next());
         let to = format!("{DELTA_PREFIX}~");
-        let rows = self.table.read(&Read::Range { from, to, limit: DELTAS }).await?;
+        let rows = self.table.read(&Read::Range { from, to, limit: DELTAS_PER_READ }).await?;
         if rows.rows.is_empty() {
             return Err(TableError::Lost("the head names a patch that is not there".to_owned()));
         }
@@ -99,8 +105,8 @@
         Ok(())
     }
 
-    /// Applies a patch that the table has taken, unless another read or a peer
-    /// has brought it in the meantime.
+    /// Applies a patch that is in the table, unless another read or a peer has
+    /// already delivered it.
     pub(super) fn apply(&self, patch: Patch) {
         let config = self.config();
         if patch.against != config.number {
@@ -112,10 +118,10 @@
         self.adopt(next);
     }
 
-    /// Stores a snapshot where one is due. A failure costs only the next
-    /// newcomer's time.
-    pub(super) async fn keep_snapshot(&self, number: Number) {
-        if !number.0.is_multiple_of(SNAPSHOT_EVERY) || number != self.number() {
+    /// Stores a snapshot if one is due. After a failure, a daemon that joins only
+    /// takes longer to read the patches.
+    pub(super) async fn store_snapshot_if_due(&self, number: Number) {
+        if !number.0.is_multiple_of(PATCHES_PER_SNAPSHOT) || number != self.number() {
             return;
         }
         let snapshot = self.gossip.borrow().snapshot(&self.config());
@@ -125,8 +131,8 @@
             warn!(self.log, ""; "event" => "snapshot_unstored", "error" => %error);
             return;
         }
-        // Named in the head only once it is stored whole.
-        let Ok((head, revision)) = self.head().await else { return };
+        // The head names the snapshot only after it is stored completely.
+        let Ok((head, revision)) = self.fetch_head().await else { return };
         let head = Head { snapshot: number, ..head };
         let txn = Txn {
             conditions: vec![Condition { key: HEAD_KEY.to_owned(), revision }],
@@ -135,20 +141,23 @@
         let _ = self.table.txn(&txn).await;
     }
 
-    /// Patches after `after`, oldest first.
+    /// Returns the patches after number `after`, oldest first. One request returns
+    /// a limited number of them.
     pub(crate) async fn history(&self, after: Number) -> Result<Vec<(Number, Patch)>, TableError> {
         let from = delta_key(after.next());
         let to = format!("{DELTA_PREFIX}~");
-        let rows = self.table.read(&Read::Range { from, to, limit: DELTAS }).await?;
+        let rows = self.table.read(&Read::Range { from, to, limit: DELTAS_PER_READ }).await?;
         let patches = rows.rows.iter().map(decode::<Patch>);
         Ok(patches.map(|patch| (patch.against.next(), patch)).collect())
     }
 }
 
+/// Decodes the value of a row of the table.
 pub(crate) fn decode<T: serde::de::DeserializeOwned>(row: &Row) -> T {
     serde_json::from_str(&row.value).expect("only this project writes its rows")
 }
 
+/// Encodes the value of a row of the table.
 pub(crate) fn encode<T: serde::Serialize>(value: &T) -> String {
     serde_json::to_string(value).expect("rows serialise")
 }
