--- a/kingcupbayd/tests/drain.rs
+++ b/kingcupbayd/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Planned stops: graceful, whatever runs.
+//! Planned stops of hosts complete the running streams.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,13 +12,13 @@
 use futures_util::{Stream, StreamExt, future::join_all};
 use kingcupbay_standin::answer_text;
 
-/// Streams that run when the operator stops a host; each has work left.
+/// Number of streams that run when the operator stops a host.
 const STREAMS: usize = 24;
 
 type Body = Pin<Box<dyn Stream<Item = Result<Bytes, PayloadError>>>>;
 
 /// Starts a stream and waits for its first bytes.
-async fn begin(entry: &Process) -> (Vec<u8>, Body) {
+async fn start_stream(entry: &Process) -> (Vec<u8>, Body) {
     let request = ask(entry, "/v1/completions");
     let mut response = request.send_json(&completion("tasting@v1", 60)).await.unwrap();
     assert_eq!(response.status(), 200);
@@ -26,16 +26,16 @@
     (first.to_vec(), Box::pin(response))
 }
 
-/// Reads a stream that has begun to its end.
-async fn rest((mut text, mut body): (Vec<u8>, Body)) -> String {
+/// Reads a started stream to its end.
+async fn read_to_end((mut text, mut body): (Vec<u8>, Body)) -> String {
     while let Some(bytes) = body.next().await {
         text.extend_from_slice(&bytes.unwrap());
     }
     String::from_utf8(text).unwrap()
 }
 
-async fn started(entry: &Process) -> Vec<(Vec<u8>, Body)> {
-    join_all((0..STREAMS).map(|_| begin(entry))).await
+async fn start_streams(entry: &Process) -> Vec<(Vec<u8>, Body)> {
+    join_all((0..STREAMS).map(|_| start_stream(entry))).await
 }
 
 fn assert_whole(body: String) {
@@ -44,28 +44,27 @@
     assert_eq!(answer.text(), answer_text("tasting@v1", answer.request(), 0..60));
 }
 
-/// An operator replaces the entry's host on a Saturday. Running answers must
-/// reach their callers whole, and the process must end by itself, even when
-/// an impatient second signal follows.
+/// An operator stops an entry. Running answers must reach their callers complete,
+/// and the process must end by itself, even if a second signal follows.
 #[actix_rt::test]
 async fn a_stopped_entry_finishes_every_stream() {
     let mut fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "10"], "").await;
-    let streams = started(&fleet.entries[0]).await;
+    let streams = start_streams(&fleet.entries[0]).await;
     fleet.entries[0].signal("-TERM");
     fleet.entries[0].wait_line("event=stopping");
     fleet.entries[0].signal("-TERM");
-    join_all(streams.into_iter().map(rest)).await.into_iter().for_each(assert_whole);
+    join_all(streams.into_iter().map(read_to_end)).await.into_iter().for_each(assert_whole);
     let (ok, lines) = fleet.entries.remove(0).wait();
     assert!(ok);
     assert!(lines.iter().any(|line| line.contains("event=stopped") && line.contains("cut=0")));
 }
 
-/// The same for an upstream daemon: what runs there finishes there, and
-/// requests that come while it stops run elsewhere, without an error.
+/// An operator stops an upstream daemon. Running requests must finish there, and
+/// requests that arrive meanwhile must run on another upstream without an error.
 #[actix_rt::test]
 async fn a_stopped_upstream_daemon_finishes_and_new_requests_go_elsewhere() {
     let mut fleet = Fleet::start(1, 2, &["--first", "1", "--gap", "10"], "").await;
-    let streams = started(&fleet.entries[0]).await;
+    let streams = start_streams(&fleet.entries[0]).await;
     let host = fleet.upstreams.remove(0);
     host.signal("-TERM");
     let later = (0..STREAMS).map(|_| {
@@ -77,7 +76,7 @@
         assert_eq!(answer.status, 200, "{}", answer.body);
         assert_whole(answer.body);
     }
-    join_all(streams.into_iter().map(rest)).await.into_iter().for_each(assert_whole);
+    join_all(streams.into_iter().map(read_to_end)).await.into_iter().for_each(assert_whole);
     assert!(host.wait().0);
     let answer =
         finish(ask(&fleet.entries[0], "/v1/completions"), &completion("tasting", 60)).await;
--- a/kingcupbayd/tests/failure.rs
+++ b/kingcupbayd/tests/failure.rs
@@ -1,4 +1,4 @@
-//! Whole answers through failures of engines, daemons and connections.
+//! Answers stay complete across failures of engines, daemons and connections.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,17 +20,18 @@
 };
 use kingcupbay_standin::{EngineRecord, Fault, Outcome, Rule, answer_text};
 
+/// Tokens of each answer.
 const TOKENS: u32 = 40;
 
-/// Tight bounds, so that a dead stream is found soon.
-const TIGHT: &str = "heartbeat_ms = 50\nsilence_ms = 400\nengine_silence_ms = 400\n";
+/// Short time limits, so that a dead stream is detected soon.
+const SHORT_LIMITS: &str = "heartbeat_ms = 50\nsilence_ms = 400\nengine_silence_ms = 400\n";
 
-/// Bounds so wide that no silence is noticed within a test.
-const PATIENT: &str = "heartbeat_ms = 50\nsilence_ms = 60000\nengine_silence_ms = 600000\n";
+/// Time limits so long that no silence is detected within a test.
+const LONG_LIMITS: &str = "heartbeat_ms = 50\nsilence_ms = 60000\nengine_silence_ms = 600000\n";
 
-/// Two engines with an upstream daemon each, and one entry.
-async fn pair(gap: &str) -> Fleet {
-    Fleet::start(1, 2, &["--first", "1", "--gap", gap], TIGHT).await
+/// Starts two engines with an upstream daemon each, and one entry.
+async fn start_pair(gap: &str) -> Fleet {
+    Fleet::start(1, 2, &["--first", "1", "--gap", gap], SHORT_LIMITS).await
 }
 
 async fn answer(fleet: &Fleet) -> Answer {
@@ -47,7 +48,7 @@
     control(engine).get("/state").await.unwrap()
 }
 
-/// Which engine runs a stream now.
+/// Waits for a running stream and returns the index of its engine.
 async fn running_at(fleet: &Fleet) -> usize {
     until("a running stream", async || {
         for (at, engine) in fleet.engines.iter().enumerate() {
@@ -60,38 +61,38 @@
     .await
 }
 
-/// Sets a rule on both engines, for one stream or load of each.
-async fn hit_each_once(fleet: &Fleet, fault: Fault) {
+/// Sets a fault on each engine, for one stream or load.
+async fn fail_once_on_each(fleet: &Fleet, fault: Fault) {
     for engine in &fleet.engines {
         control(engine).set(Rule::new(fault).times(1)).await.unwrap();
     }
 }
 
-/// An engine's process breaks off an itinerary after some words. The guest
-/// must read the rest from another engine, each word once.
+/// An engine ends its stream after some tokens. The caller must receive the rest
+/// from another engine, and each token once.
 #[actix_rt::test]
-async fn a_cut_engine_stream_is_resumed() {
-    let fleet = pair("0").await;
-    hit_each_once(&fleet, Fault::CutStreams { tokens: 7 }).await;
+async fn an_interrupted_engine_stream_is_resumed() {
+    let fleet = start_pair("0").await;
+    fail_once_on_each(&fleet, Fault::CutStreams { tokens: 7 }).await;
     assert_whole(&answer(&fleet).await);
     let metrics = get(&fleet.entries[0], "/metrics").await;
     assert!(metrics.contains("kingcupbay_retries_total{reason=\"upstream_failed\"} 2"));
 }
 
-/// An engine loses a stream but keeps its connection open: no error ever
-/// comes. Without a bound on silence the guest would wait to the deadline.
+/// An engine loses a stream but keeps its connection open, so no error occurs.
+/// Without a limit on silence the caller would wait until its deadline.
 #[actix_rt::test]
 async fn a_stalled_engine_stream_is_resumed() {
-    let fleet = pair("0").await;
-    hit_each_once(&fleet, Fault::StallStreams { tokens: 7 }).await;
+    let fleet = start_pair("0").await;
+    fail_once_on_each(&fleet, Fault::StallStreams { tokens: 7 }).await;
     assert_whole(&answer(&fleet).await);
 }
 
-/// An engine restarts empty in the middle of an answer; its daemon must see
-/// that the adapter is gone, and the answer must go on elsewhere.
+/// An engine restarts without adapters in the middle of an answer. Its daemon
+/// must detect that, and the answer must continue on another engine.
 #[actix_rt::test]
 async fn a_restarted_engine_loses_no_answer() {
-    let fleet = pair("5").await;
+    let fleet = start_pair("5").await;
     let (answer, ()) = tokio::join!(answer(&fleet), async {
         let at = running_at(&fleet).await;
         control(&fleet.engines[at]).restart().await.unwrap();
@@ -99,10 +100,11 @@
     assert_whole(&answer);
 }
 
-/// The upstream host dies without a word while it serves an answer.
+/// The upstream daemon is killed while it serves an answer, which must continue on
+/// another upstream.
 #[actix_rt::test]
 async fn a_killed_upstream_daemon_loses_no_answer() {
-    let mut fleet = pair("10").await;
+    let mut fleet = start_pair("10").await;
     let mut upstreams: Vec<_> = fleet.upstreams.drain(..).map(Some).collect();
     let (answer, ()) = tokio::join!(answer(&fleet), async {
         let at = running_at(&fleet).await;
@@ -111,12 +113,12 @@
     assert_whole(&answer);
 }
 
-/// The upstream daemon is frozen: its connections stay open, silent for good.
-/// The heartbeats stop, the entry resumes elsewhere, and when the daemon
-/// wakes up, what it still sends reaches nobody.
+/// The upstream daemon is suspended, so its connections stay open but silent. The
+/// entry must detect the missing heartbeats and resume on another upstream. What
+/// the daemon sends after it continues must be discarded.
 #[actix_rt::test]
 async fn a_frozen_upstream_daemon_loses_no_answer() {
-    let fleet = pair("10").await;
+    let fleet = start_pair("10").await;
     let (answer, at) = tokio::join!(answer(&fleet), async {
         let at = running_at(&fleet).await;
         fleet.upstreams[at].signal("-STOP");
@@ -126,12 +128,12 @@
     assert_whole(&answer);
 }
 
-/// All connections of an engine go silent for good, as when a translator of
-/// addresses forgets them, while new ones work. A request has three attempts
-/// and the pool eight dead connections, so they must leave it together.
+/// All open connections to an engine go silent, as when a NAT gateway drops its
+/// state, while new ones work. A request has three attempts and the pool eight
+/// dead connections, so all of them must be removed together.
 #[actix_rt::test]
-async fn silent_connections_leave_the_pool() {
-    let fleet = Fleet::start(1, 1, &["--first", "50", "--gap", "0"], TIGHT).await;
+async fn silent_connections_are_removed_from_the_pool() {
+    let fleet = Fleet::start(1, 1, &["--first", "50", "--gap", "0"], SHORT_LIMITS).await;
     assert_whole(&answer(&fleet).await);
     let together = (0..8).map(|_| answer(&fleet));
     join_all(together).await.iter().for_each(assert_whole);
@@ -139,12 +141,12 @@
     assert_whole(&answer(&fleet).await);
 }
 
-/// An engine restarts, and the connections of its streams stay open, silent.
-/// Long before silence is noticed, its report tells that the adapter is gone,
-/// and every answer that ran on it must go on.
+/// An engine restarts, and the connections of its streams stay open but silent.
+/// Its report shows the lost adapter long before the silence is detected, and
+/// every answer that ran on it must continue.
 #[actix_rt::test]
-async fn a_restart_is_told_to_streams_on_silent_connections() {
-    let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "5"], PATIENT).await;
+async fn streams_on_silent_connections_are_resumed_after_a_restart() {
+    let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "5"], LONG_LIMITS).await;
     let (answer, ()) = tokio::join!(answer(&fleet), async {
         running_at(&fleet).await;
         control(&fleet.engines[0]).freeze().await.unwrap();
@@ -153,12 +155,12 @@
     assert_whole(&answer);
 }
 
-/// A guest leaves while the engine thinks: no token comes that could fail to
-/// be sent. The engine's stream must end all the same, not at its deadline.
+/// A caller disconnects before the first token, so no failed write reveals it.
+/// The engine's stream must still end, and not only at its deadline.
 #[actix_rt::test]
-async fn a_caller_that_leaves_before_the_first_token_is_noticed() {
-    let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "0"], PATIENT).await;
-    hit_each_once(&fleet, Fault::StallStreams { tokens: 0 }).await;
+async fn a_caller_that_leaves_before_the_first_token_ends_the_engines_stream() {
+    let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "0"], LONG_LIMITS).await;
+    fail_once_on_each(&fleet, Fault::StallStreams { tokens: 0 }).await;
     let body = completion("tasting@v1", TOKENS);
     let waiting = finish(ask(&fleet.entries[0], "/v1/completions"), &body);
     tokio::select! {
@@ -171,13 +173,13 @@
     .await;
 }
 
-/// An operator corrects the zone of an upstream, or shows it as leaving, while
-/// it serves. Its adapter must stay pinned under the running answer: a request
-/// for another one must not evict it from the only slot.
+/// An operator changes the zone of an upstream, or sets it to leaving, while it
+/// serves an answer. The adapter must stay pinned: a request for another adapter
+/// must not evict it from the only slot.
 #[actix_rt::test]
 async fn a_changed_row_keeps_the_pins_of_running_requests() {
     let args = ["--first", "1", "--gap", "20", "--slots", "1"];
-    let fleet = Fleet::start(1, 1, &args, TIGHT).await;
+    let fleet = Fleet::start(1, 1, &args, SHORT_LIMITS).await;
     let entry = &fleet.entries[0];
     let text = get(entry, "/admin/config").await;
     let config: Config = serde_json::from_str(&text).unwrap();
@@ -200,13 +202,13 @@
     assert_eq!(record.count(Outcome::Finished), 2);
 }
 
-/// An upstream is declared before its host's daemon has joined. A request for
-/// it must be refused at once; looking for it again and again would keep the
-/// whole entry busy until the deadline.
+/// An upstream is declared before the daemon of its host has joined. A request
+/// for it must be refused at once. Retrying without pause would keep the whole
+/// entry busy until the deadline.
 #[actix_rt::test]
 async fn an_upstream_on_an_absent_host_is_refused_at_once() {
     let platform = standin("platform", &[]);
-    let entry = daemon("entry", "entry-1", &platform, TIGHT);
+    let entry = daemon("entry", "entry-1", &platform, SHORT_LIMITS);
     let engine = standin("engine", &[]);
     ready(&entry).await;
     let mut changes = basics();
@@ -218,13 +220,13 @@
     assert_eq!((refused.ran().as_str(), refused.retry_after), ("not_run", Some(1)));
 }
 
-/// The table goes before an upstream daemon has its fencing number. Its
-/// requests must soon be told to come back, not be held to their deadlines.
+/// The table fails before an upstream daemon has its fencing number. Its requests
+/// must soon be refused with a time to retry, not wait until their deadlines.
 #[actix_rt::test]
 async fn an_engine_that_is_not_owned_refuses_soon() {
-    let fleet = Fleet::start(1, 0, &[], TIGHT).await;
+    let fleet = Fleet::start(1, 0, &[], SHORT_LIMITS).await;
     let engine = standin("engine", &[]);
-    let upstream = daemon("upstream", "upstream-1", &fleet.platform, TIGHT);
+    let upstream = daemon("upstream", "upstream-1", &fleet.platform, SHORT_LIMITS);
     ready(&upstream).await;
     until("the rate shares", async || {
         let dump = get(&fleet.entries[0], "/admin/dump").await;
@@ -246,12 +248,12 @@
     assert_eq!(refused.retry_after, Some(1));
 }
 
-/// A daemon before an engine that ignores fencing numbers is replaced while it
-/// may only be paused. Its peers have not heard of the successor and still
-/// vouch for it, so the successor must not order the engine about yet.
+/// The daemon of an engine that ignores fencing numbers is replaced while it is
+/// only suspended. Its peers do not know the successor yet and still confirm the
+/// old daemon, so the successor must not send orders to the engine.
 #[actix_rt::test]
 async fn a_successor_waits_until_its_join_is_in_force() {
-    let mut fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "0"], TIGHT).await;
+    let mut fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "0"], SHORT_LIMITS).await;
     let text = get(&fleet.entries[0], "/admin/config").await;
     let config: Config = serde_json::from_str(&text).unwrap();
     let id = config.upstream_names[&name("gpu-1")];
@@ -260,15 +262,16 @@
     fleet.apply(&[Change::SetUpstream { upstream }]).await;
     until("the owner", async || {
         let dump = get(&fleet.upstreams[0], "/admin/dump").await;
-        // A busy host may learn of both rows at once and take one number for them.
+        // On a busy machine the daemon may receive both rows at once and take one
+        // number for them.
         let owned = !dump.contains("upstream=gpu-1 fencing=0 ");
         (owned && dump.contains(" fenced=false ")).then_some(())
     })
     .await;
     fleet.upstreams[0].signal("-STOP");
     fleet.entries[0].signal("-STOP");
-    let mut successor = daemon("upstream", "upstream-1", &fleet.platform, TIGHT);
-    // Longer than the wait that follows a join in force.
+    let mut successor = daemon("upstream", "upstream-1", &fleet.platform, SHORT_LIMITS);
+    // Longer than the wait that follows when a join is in force.
     tokio::time::sleep(std::time::Duration::from_secs(8)).await;
     let dump = get(&successor, "/admin/dump").await;
     assert!(dump.contains("upstream=gpu-1 fencing=0 "), "{dump}");
@@ -276,8 +279,8 @@
     successor.wait_line("event=owned");
 }
 
-/// An order for the first upstream, under the configuration in force.
-async fn order(fleet: &Fleet) -> Run {
+/// Builds a run request for the first upstream, under the current configuration.
+async fn run_request(fleet: &Fleet) -> Run {
     let text = get(&fleet.entries[0], "/admin/config").await;
     let config: Config = serde_json::from_str(&text).unwrap();
     Run {
@@ -296,62 +299,63 @@
     }
 }
 
-/// An entry that missed the news sends an order, under the number before, to
-/// an upstream that is leaving. Its daemon must refuse it, truly as not run.
+/// An entry that has not received the latest configuration sends a run request
+/// to an upstream that is leaving. Its daemon must refuse it as not run, and must
+/// not run it.
 #[actix_rt::test]
-async fn a_leaving_upstream_refuses_an_entry_that_missed_the_news() {
-    let mut fleet = pair("0").await;
-    let order = order(&fleet).await;
+async fn a_leaving_upstream_refuses_an_entry_with_an_old_configuration() {
+    let mut fleet = start_pair("0").await;
+    let run = run_request(&fleet).await;
     let text = get(&fleet.entries[0], "/admin/config").await;
     let config: Config = serde_json::from_str(&text).unwrap();
-    let mut upstream = config.upstreams.get(order.upstream).unwrap().clone();
+    let mut upstream = config.upstreams.get(run.upstream).unwrap().clone();
     upstream.leaving = true;
     fleet.apply(&[Change::SetUpstream { upstream }]).await;
-    let answer = run(&fleet.upstreams[0], &order).await;
+    let answer = send_run(&fleet.upstreams[0], &run).await;
     let answer = String::from_utf8_lossy(&answer);
     assert!(answer.contains("no_upstream") && answer.contains("not_run"), "{answer}");
     assert_eq!(record(&fleet.engines[0]).await.ran.len(), 0);
 }
 
-/// An order as an entry sends it; the body of its answer.
-async fn run(upstream: &Process, order: &Run) -> Vec<u8> {
+/// Sends a run request as an entry does, and returns the body of the answer.
+async fn send_run(upstream: &Process, run: &Run) -> Vec<u8> {
     let url = format!("http://{}/run", upstream.address("peers"));
-    let body = rmp_serde::to_vec(order).unwrap();
+    let body = rmp_serde::to_vec(run).unwrap();
     let mut response = common::client().post(url).send_body(body).await.unwrap();
     response.body().await.unwrap().to_vec()
 }
 
-/// An entry whose connection went silent sends its order again to the only
+/// An entry whose connection went silent sends its run request again to the only
 /// upstream, where the first one still waits for its adapter. The second must
-/// not push the first aside, nor end the daemon.
+/// neither displace the first nor crash the daemon.
 #[actix_rt::test]
-async fn a_repeated_order_does_not_push_the_first_aside() {
-    let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "0"], TIGHT).await;
-    let order = order(&fleet).await;
+async fn a_repeated_run_request_does_not_displace_the_first() {
+    let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "0"], SHORT_LIMITS).await;
+    let run = run_request(&fleet).await;
     let engine = control(&fleet.engines[0]);
     engine.set(Rule::new(Fault::Slow { millis: 300 }).path("/v1/load").times(1)).await.unwrap();
     let upstream = &fleet.upstreams[0];
-    let first = run(upstream, &order);
+    let first = send_run(upstream, &run);
     let second = async {
-        until("the first order", async || {
+        until("the first run request", async || {
             let dump = get(upstream, "/admin/dump").await;
             dump.contains("waiting=1").then_some(())
         })
         .await;
-        run(upstream, &order).await
+        send_run(upstream, &run).await
     };
     let (first, second) = tokio::join!(first, second);
-    let holds = |body: &[u8], text: &str| body.windows(text.len()).any(|p| p == text.as_bytes());
-    assert!(holds(&first, "length") && holds(&first, "tasting@v1:39:"));
-    assert!(holds(&second, "OutcomeUnknown") || holds(&second, "outcome_unknown"));
-    assert!(!holds(&second, "tasting@v1:"));
+    let contains = |body: &[u8], text: &str| body.windows(text.len()).any(|p| p == text.as_bytes());
+    assert!(contains(&first, "length") && contains(&first, "tasting@v1:39:"));
+    assert!(contains(&second, "OutcomeUnknown") || contains(&second, "outcome_unknown"));
+    assert!(!contains(&second, "tasting@v1:"));
 }
 
-/// The entry dies while a guest reads. Nobody else knows that the answer did
-/// not arrive, so the upstream daemon must count it and log the request.
+/// The entry dies while it streams an answer. No other process knows that the
+/// answer was not delivered, so the upstream daemon must count and log it.
 #[actix_rt::test]
-async fn an_answer_lost_with_its_entry_is_noticed_by_the_upstream_daemon() {
-    let mut fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "20"], TIGHT).await;
+async fn an_answer_lost_with_its_entry_is_counted_by_the_upstream_daemon() {
+    let mut fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "20"], SHORT_LIMITS).await;
     let request = ask(&fleet.entries[0], "/v1/completions");
     let mut response = request.send_json(&completion("tasting@v1", 5_000)).await.unwrap();
     response.next().await.unwrap().unwrap();
@@ -362,13 +366,13 @@
     assert!(metrics.contains("kingcupbay_undelivered_total{organisation=\"winery\"} 1"));
 }
 
-/// Loads fail on one engine; the request must be served by the other. When
-/// they fail everywhere it is refused at once, truly as not run, with a time
-/// to come back.
+/// Loads fail on one engine, and the request must be served by the other. If they
+/// fail on all engines, it must be refused at once, as not run and with a time to
+/// retry.
 #[actix_rt::test]
-async fn failed_loads_move_on_or_are_refused_at_once() {
-    let fleet = pair("0").await;
-    hit_each_once(&fleet, Fault::FailLoads).await;
+async fn requests_whose_loads_fail_are_retried_or_refused_at_once() {
+    let fleet = start_pair("0").await;
+    fail_once_on_each(&fleet, Fault::FailLoads).await;
     let second = control(&fleet.engines[1]);
     second.clear_all().await.unwrap();
     assert_whole(&answer(&fleet).await);
@@ -382,11 +386,11 @@
     assert!(refused.retry_after.unwrap() >= 1);
 }
 
-/// A key is withdrawn while its holder reads. The stream must stop within
-/// seconds, and say why.
+/// A key is withdrawn while an answer streams to its holder. The stream must end
+/// within seconds, with the reason.
 #[actix_rt::test]
 async fn a_withdrawn_key_stops_its_running_stream() {
-    let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "20"], TIGHT).await;
+    let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "20"], SHORT_LIMITS).await;
     let entry = &fleet.entries[0];
     let body = completion("tasting@v1", 5_000);
     let (answer, ()) = tokio::join!(finish(ask(entry, "/v1/completions"), &body), async {
@@ -399,11 +403,11 @@
     assert!(!answer.body.contains("[DONE]"));
 }
 
-/// An upstream is shown as leaving while requests come. After the change is
-/// known it must get nothing new.
+/// An upstream is set to leaving while requests arrive. After the daemons know
+/// the change it must receive no new requests.
 #[actix_rt::test]
 async fn a_leaving_upstream_gets_nothing_new() {
-    let mut fleet = pair("0").await;
+    let mut fleet = start_pair("0").await;
     let config: Config =
         serde_json::from_str(&get(&fleet.entries[0], "/admin/config").await).unwrap();
     let id = config.upstream_names[&name("gpu-1")];
@@ -417,11 +421,12 @@
     assert_eq!(record(&fleet.engines[0]).await.ran.len(), before);
 }
 
-/// A caller asks for more than fits before its deadline: the answer to the
-/// refusal comes at once when it is given up on, not later.
+/// A caller requests more tokens than can be generated before its deadline. The
+/// answer must end at the deadline with a failure, and so must the engine's
+/// stream.
 #[actix_rt::test]
 async fn a_passed_deadline_ends_the_answer_and_the_engines_stream() {
-    let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "20"], TIGHT).await;
+    let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "20"], SHORT_LIMITS).await;
     let request = ask(&fleet.entries[0], "/v1/completions").insert_header(("x-deadline-ms", "500"));
     let answer = finish(request, &completion("tasting@v1", 5_000)).await;
     let last = answer.events().pop().unwrap();
--- a/kingcupbayd/tests/fleet.rs
+++ b/kingcupbayd/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Agreement of the daemons, as separate processes: outages, lost answers,
-//! frozen and replaced hosts.
+//! Agreement of daemons in separate processes across outages, lost answers, and
+//! suspended and replaced hosts.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,12 +17,12 @@
 };
 use kingcupbay_standin::{Fault, Rule};
 
-/// Longer than the freshness bound, so that nothing read before still counts.
-const LAPSE: Duration = Duration::from_millis(3_500);
+/// Longer than the freshness bound, so that what was read before has lapsed.
+const PAST_FRESHNESS: Duration = Duration::from_millis(3_500);
 
-/// An entry and two upstream daemons that own their engines: that takes the
-/// table.
-async fn three() -> Fleet {
+/// Starts an entry and two upstream daemons, and waits until these own their
+/// engines, for which they need the table.
+async fn start_fleet() -> Fleet {
     let mut fleet = Fleet::start(1, 2, &["--first", "1", "--gap", "0"], "").await;
     for upstream in &mut fleet.upstreams {
         upstream.wait_line("event=owned");
@@ -34,7 +34,7 @@
     finish(ask(&fleet.entries[0], "/v1/completions"), &completion("tasting@v1", 3)).await
 }
 
-/// A patch against what is in force at the entry.
+/// Builds a patch against the configuration of the entry.
 async fn patch(fleet: &Fleet, id: u8) -> Patch {
     let text = get(&fleet.entries[0], "/admin/config").await;
     let config: Config = serde_json::from_str(&text).unwrap();
@@ -44,36 +44,39 @@
     Patch { id, against: config.number, author: "ops".into(), changes }
 }
 
-/// The platform's table is gone for everyone on a Saturday. Without a way to
-/// vouch for each other, every entry would refuse every guest three seconds
-/// later, though no key can have been withdrawn meanwhile.
+/// The platform's table fails for all daemons. If they could not confirm each
+/// other, every entry would refuse all requests three seconds later, though no
+/// key can be withdrawn without the table.
 #[actix_rt::test]
-async fn a_table_outage_for_everyone_costs_callers_nothing() {
-    let fleet = three().await;
+async fn a_table_outage_does_not_affect_callers() {
+    let fleet = start_fleet().await;
     control(&fleet.platform).set(Rule::new(Fault::Outage)).await.unwrap();
     let begin = Instant::now();
-    while begin.elapsed() < LAPSE {
+    while begin.elapsed() < PAST_FRESHNESS {
         let answer = answer(&fleet).await;
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
 }
 
-/// An entry loses the table and every peer, and nobody can tell it that a key
-/// was withdrawn. It must stop, truly saying "not run", and serve again when
-/// it hears from the others, with the table still gone.
+/// An entry loses the table and all peers, so it cannot learn that a key was
+/// withdrawn. It must refuse requests as not run, and serve again when it
+/// reaches its peers, with the table still unreachable.
 #[actix_rt::test]
-async fn an_entry_cut_off_from_table_and_peers_stops() {
-    let fleet = three().await;
+async fn an_entry_cut_off_from_table_and_peers_refuses_requests() {
+    let fleet = start_fleet().await;
     control(&fleet.platform).set(Rule::new(Fault::Outage)).await.unwrap();
     fleet.upstreams.iter().for_each(|upstream| upstream.signal("-STOP"));
     let entry = &fleet.entries[0];
-    until("the lapse", async || (get(entry, "/ready").await == "not ready\n").then_some(())).await;
+    until("the lapse of the standing", async || {
+        (get(entry, "/ready").await == "not ready\n").then_some(())
+    })
+    .await;
     let refused = answer(&fleet).await;
     assert_eq!((refused.code().as_str(), refused.ran().as_str()), ("no_standing", "not_run"));
     fleet.upstreams.iter().for_each(|upstream| upstream.signal("-CONT"));
     ready(entry).await;
-    // The daemons beside engines were frozen as well, and refuse until they have
-    // heard that what they know is in force.
+    // The upstream daemons were suspended as well, and refuse requests until their
+    // own configuration is confirmed.
     for upstream in &fleet.upstreams {
         ready(upstream).await;
     }
@@ -81,11 +84,11 @@
     assert_eq!(again.status, 200, "{}", again.body);
 }
 
-/// The table takes the withdrawal of a key and its answer is lost. The
-/// operator must not be told that it failed, and a repeat must not be stale.
+/// The table commits the withdrawal of a key, and its answer is lost. The
+/// operator must not get a failure, and a repeat must not be stale.
 #[actix_rt::test]
-async fn a_patch_whose_answer_was_lost_is_acknowledged_and_repeats() {
-    let fleet = three().await;
+async fn a_patch_whose_answer_was_lost_is_acknowledged_and_can_be_repeated() {
+    let fleet = start_fleet().await;
     let rule = Rule::new(Fault::LoseAnswer).path("/txn").times(1);
     control(&fleet.platform).set(rule).await.unwrap();
     let patch = patch(&fleet, 1).await;
@@ -96,11 +99,11 @@
     }
 }
 
-/// Two operators withdraw the same key against the same number, each at
-/// another daemon. One is told that it is stale, and from where to go on.
+/// Two operators withdraw the same key against the same number, each at another
+/// daemon. One patch must be refused as stale, with the current number.
 #[actix_rt::test]
-async fn of_two_racing_operators_one_is_stale() {
-    let fleet = three().await;
+async fn one_of_two_concurrent_patches_is_stale() {
+    let fleet = start_fleet().await;
     let (one, two) = (patch(&fleet, 1).await, patch(&fleet, 2).await);
     let answers =
         tokio::join!(post_patch(&fleet.entries[0], &one), post_patch(&fleet.upstreams[0], &two));
@@ -113,11 +116,12 @@
     assert_eq!(refused.error, stale);
 }
 
-/// Both other daemons are frozen when a key is withdrawn. Told "accepted", the
-/// operator would believe the key dead while they, resumed, still honour it.
+/// Both upstream daemons are suspended when a key is withdrawn. If the patch were
+/// acknowledged, the operator would consider the key invalid while they still
+/// accept it after they continue.
 #[actix_rt::test]
-async fn a_patch_that_too_few_hold_is_not_acknowledged() {
-    let fleet = three().await;
+async fn a_patch_held_by_too_few_members_is_not_acknowledged() {
+    let fleet = start_fleet().await;
     fleet.upstreams.iter().for_each(|upstream| upstream.signal("-STOP"));
     let patch = patch(&fleet, 1).await;
     let (_, body) = post_patch(&fleet.entries[0], &patch).await;
@@ -127,11 +131,11 @@
     assert!(serde_json::from_value::<Taken>(body).unwrap().acknowledged);
 }
 
-/// A host dies and another takes its name under another address. The fleet
-/// takes it in without the dead one, and patches go on being accepted.
+/// A host dies, and another one joins with the same name and another address. It
+/// must become a member without the dead one, and patches must be accepted.
 #[actix_rt::test]
-async fn a_replaced_host_joins_and_patches_go_on() {
-    let mut fleet = three().await;
+async fn a_replaced_host_joins_and_patches_are_accepted() {
+    let mut fleet = start_fleet().await;
     fleet.upstreams.remove(1).kill();
     let successor = daemon("upstream", "upstream-2", &fleet.platform, "");
     ready(&successor).await;
--- a/kingcupbayd/tests/input.rs
+++ b/kingcupbayd/tests/input.rs
@@ -1,4 +1,4 @@
-//! Bad input of callers: a clear refusal, nothing run, nothing leaked.
+//! Invalid input of callers is refused clearly, runs nothing and leaks nothing.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,11 +15,14 @@
 use kingcupbay_standin::{EngineRecord, Outcome};
 use serde_json::{Value, json};
 
-async fn small() -> Fleet {
+/// Starts one entry and one upstream.
+async fn start_small_fleet() -> Fleet {
     Fleet::start(1, 1, &["--first", "1", "--gap", "0"], "").await
 }
 
-fn others() -> Vec<Change> {
+/// Returns the changes that declare a second organisation with a key and an
+/// adapter.
+fn other_organisation() -> Vec<Change> {
     vec![
         Change::SetOrganisation { name: name("tours"), rate: 1_000, burst: 1_000 },
         Change::IssueKey {
@@ -36,13 +39,13 @@
     ]
 }
 
-/// An attacker must not learn from an answer which keys or adapters exist: an
-/// unknown key and a withdrawn one, an unknown adapter and somebody else's,
-/// are answered alike to the byte.
+/// An attacker must not learn from an answer which keys or adapters exist. The
+/// answers to an unknown and a withdrawn key, and to an unknown adapter and one of
+/// another organisation, must be equal to the byte.
 #[actix_rt::test]
-async fn what_exists_is_not_told_apart() {
-    let mut fleet = small().await;
-    fleet.apply(&others()).await;
+async fn refusals_do_not_reveal_what_exists() {
+    let mut fleet = start_small_fleet().await;
+    fleet.apply(&other_organisation()).await;
     let entry = &fleet.entries[0];
     let with_key = |key: &str| {
         let url = format!("http://{}/v1/completions", entry.address("callers"));
@@ -64,9 +67,10 @@
     assert_eq!((version.status, version.ran().as_str()), (404, "not_run"));
 }
 
+/// The refusal of a malformed request must name the field or header at fault.
 #[actix_rt::test]
 async fn malformed_requests_name_what_is_wrong() {
-    let fleet = small().await;
+    let fleet = start_small_fleet().await;
     let entry = &fleet.entries[0];
     let path = "/v1/completions";
     let refused = async |body: Value, field: &str| {
@@ -90,54 +94,54 @@
     assert_eq!((answer.status, answer.code().as_str()), (413, "too_large"));
 }
 
-/// What a raw connection answers to `text`, which it sends and then leaves
-/// open.
-fn raw(fleet: &Fleet, text: &[u8]) -> String {
+/// Sends `text` on a new connection, leaves it open, and returns all that is
+/// received.
+fn send_raw(fleet: &Fleet, text: &[u8]) -> String {
     let mut stream = TcpStream::connect(fleet.entries[0].address("callers")).unwrap();
     stream.write_all(text).unwrap();
     let mut answer = Vec::new();
-    // An endless header is cut off by a reset, which ends the read too.
+    // The connection of an endless header is reset, which ends the read too.
     let _ = stream.read_to_end(&mut answer);
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// A caller's network breaks off in mid-body and the connection stays open.
-/// Without a bound each such caller would hold memory for ever.
+/// A caller stops sending in the middle of a body and the connection stays open.
+/// Without a time limit each such caller would hold memory for ever.
 #[actix_rt::test]
 async fn a_body_that_stalls_is_answered_and_closed() {
-    let fleet = small().await;
+    let fleet = start_small_fleet().await;
     let head = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {SECRET}\r\n\
          x-deadline-ms: 9000\r\ncontent-length: 100\r\n\r\n{{\"model\""
     );
-    let answer = raw(&fleet, head.as_bytes());
+    let answer = send_raw(&fleet, head.as_bytes());
     assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
     assert!(answer.contains("\"code\":\"body_timeout\",\"ran\":\"not_run\""), "{answer}");
 }
 
-/// Thousands of headers, or one without end, must end the connection, not
-/// the daemon; the next caller is served.
+/// Thousands of headers, or one endless header, must end the connection but not
+/// the daemon, which must serve the next caller.
 #[actix_rt::test]
-async fn header_bombs_end_only_their_connection() {
-    let fleet = small().await;
+async fn oversized_headers_end_only_their_connection() {
+    let fleet = start_small_fleet().await;
     let mut many = b"POST /v1/completions HTTP/1.1\r\nhost: x\r\n".to_vec();
     for at in 0..5_000 {
         many.extend_from_slice(format!("x-{at}: y\r\n").as_bytes());
     }
     many.extend_from_slice(b"\r\n");
-    let answer = raw(&fleet, &many);
+    let answer = send_raw(&fleet, &many);
     assert!(!answer.starts_with("HTTP/1.1 2"), "{answer}");
     let mut endless = b"POST /v1/completions HTTP/1.1\r\nx-long: ".to_vec();
     endless.extend(std::iter::repeat_n(b'y', 1 << 20));
-    let answer = raw(&fleet, &endless);
+    let answer = send_raw(&fleet, &endless);
     assert!(!answer.starts_with("HTTP/1.1 2"), "{answer}");
     let answer = finish(ask(&fleet.entries[0], "/v1/completions"), &completion("tasting", 2)).await;
     assert_eq!(answer.status, 200);
 }
 
-/// A guest closes the page while the assistant still talks. The engine's
-/// stream must end too, or it would go on generating for nobody, and the
-/// operators must see the answer that did not arrive whole.
+/// A caller disconnects in the middle of an answer. The engine's stream must end
+/// too, or it would generate for no caller, and the answer must be counted as
+/// undelivered for the operators.
 #[actix_rt::test]
 async fn a_caller_that_leaves_midway_cancels_the_engines_stream() {
     let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "20"], "").await;
@@ -162,11 +166,11 @@
     assert!(metrics.contains("kingcupbay_undelivered_total{organisation=\"winery\"} 1"));
 }
 
-/// No upstream may ever see a key: its bytes are looked for in everything
-/// that an engine received on its socket.
+/// No upstream may receive a key. The test searches for its bytes, and for those
+/// of its hash, in everything that an engine received on its socket.
 #[actix_rt::test]
 async fn no_byte_of_a_key_reaches_an_engine() {
-    let fleet = small().await;
+    let fleet = start_small_fleet().await;
     let engine = control(&fleet.engines[0]);
     engine.record(true).await.unwrap();
     let answer = finish(ask(&fleet.entries[0], "/v1/completions"), &completion("tasting", 8)).await;
@@ -179,11 +183,11 @@
     assert!(!find(&hash));
 }
 
-/// The same for a plain service behind a route that may be repeated and one
-/// that may not.
+/// No plain service may receive a key, neither through a route whose calls may be
+/// repeated nor through one whose calls run at most once.
 #[actix_rt::test]
 async fn no_byte_of_a_key_reaches_a_service() {
-    let mut fleet = small().await;
+    let mut fleet = start_small_fleet().await;
     let service = common::standin("service", &[]);
     let mut changes = vec![common::service_upstream("desk-1", "upstream-1", &service)];
     for (route, once) in [("book", true), ("look", false)] {
@@ -209,10 +213,11 @@
     assert!(!find(SECRET) && !find(&SECRET[4..]) && !find("uthorization"));
 }
 
+/// The list of models must hold the models of the key's organisation only.
 #[actix_rt::test]
 async fn models_are_listed_by_key() {
-    let mut fleet = small().await;
-    fleet.apply(&others()).await;
+    let mut fleet = start_small_fleet().await;
+    fleet.apply(&other_organisation()).await;
     let entry = &fleet.entries[0];
     let url = format!("http://{}/v1/models", entry.address("callers"));
     let mut response = client().get(url).bearer_auth(SECRET).send().await.unwrap();
@@ -221,13 +226,13 @@
     assert_eq!(ids, ["tasting@v1", "tasting@v2"]);
 }
 
-/// A tour company's buses arrive: hundreds of visitors open the page within
-/// one moment, while the entry is busy. With a short queue of connections the
-/// kernel drops the rest; they come back a second later or time out, and the
-/// entry takes the upstream's daemon, which has the same queue, for dead.
+/// Hundreds of callers connect at once while the entry is busy. If the listen
+/// backlog were short, the kernel would drop connections, which succeed a second
+/// later or time out. Upstream daemons have the same backlog, and an entry would
+/// consider one of them dead.
 #[actix_rt::test]
 async fn a_burst_of_connections_waits_for_a_busy_entry() {
-    let fleet = small().await;
+    let fleet = start_small_fleet().await;
     let at = fleet.entries[0].address("callers");
     fleet.entries[0].signal("-STOP");
     let connect = |_| TcpStream::connect_timeout(&at, Duration::from_secs(5)).ok();
