--- a/kingcupbay_core/src/admission/queue.rs
+++ b/kingcupbay_core/src/admission/queue.rs
@@ -5,7 +5,7 @@
 use crate::{
     deployment::model::AdapterName,
     time::{Instant, Span},
-    wire::sidecar::Want,
+    wire::sidecar::PermitRequest,
 };
 
 use super::Ticket;
@@ -24,30 +24,31 @@
     /// Identifies the permit request.
     pub ticket: Ticket,
     /// The permit request.
-    pub request: Want,
+    pub request: PermitRequest,
     /// Arrival time.
     queued_at: Instant,
 }
 
 impl Waiter {
     /// Creates a waiter that arrived at `now`.
-    pub fn new(now: Instant, ticket: Ticket, request: Want) -> Waiter {
+    pub fn new(now: Instant, ticket: Ticket, request: PermitRequest) -> Waiter {
         Waiter { ticket, request, queued_at: now }
     }
 
     /// Returns the time after which a permit is no longer useful.
     fn deadline(&self) -> Instant {
-        self.queued_at + self.request.patience
+        self.queued_at + self.request.max_wait
     }
 
     /// Whether it can meet its latency target with a permit granted after `wait`.
     fn can_meet_target(&self, now: Instant, wait: Span) -> bool {
-        now + wait + PREFILL_TIME <= self.queued_at + self.request.aim
+        now + wait + PREFILL_TIME <= self.queued_at + self.request.latency_target
     }
 
     /// Returns its position in the order of priority; the earlier time goes first.
     fn priority_time(&self) -> Instant {
-        self.queued_at + Span::from_micros(PRIORITY_STEP.as_micros() * u64::from(self.request.rank))
+        self.queued_at
+            + Span::from_micros(PRIORITY_STEP.as_micros() * u64::from(self.request.priority))
     }
 }
 
@@ -126,7 +127,7 @@
 
     /// Returns the prompt tokens of requests of this `priority` or a more urgent one.
     pub fn prompt_tokens_before(&self, priority: u8) -> u64 {
-        let before = self.waiters.values().filter(|waiter| waiter.request.rank <= priority);
+        let before = self.waiters.values().filter(|waiter| waiter.request.priority <= priority);
         before.map(|waiter| waiter.request.size.prompt).sum()
     }
 
--- a/kingcupbay_core/src/admission/running.rs
+++ b/kingcupbay_core/src/admission/running.rs
@@ -5,7 +5,7 @@
 use crate::{
     deployment::model::AdapterName,
     time::{Instant, Span},
-    wire::sidecar::Want,
+    wire::sidecar::PermitRequest,
 };
 
 use super::{report::Report, speed::Speed};
@@ -51,7 +51,7 @@
 
 impl Running {
     /// Records a granted permit.
-    pub(super) fn on_grant(&mut self, now: Instant, request: &Want) {
+    pub(super) fn on_grant(&mut self, now: Instant, request: &PermitRequest) {
         let alone = self.unread_tokens() == 0;
         for run in self.runs.values_mut().filter(|run| run.events == 0) {
             run.alone = false;
@@ -61,7 +61,7 @@
             name: request.name.clone(),
             reserved: request.size.total(),
             prompt: request.size.prompt,
-            event_gap: request.gap,
+            event_gap: request.event_gap,
             granted_at: now,
             seen_at: None,
             events: 0,
--- a/kingcupbay_core/tests/allowance.rs
+++ b/kingcupbay_core/tests/allowance.rs
@@ -9,7 +9,7 @@
     deployment::model::Organisation,
     id::Number,
     time::{Instant, Span},
-    wire::tally::Tally,
+    wire::usage::UsageReport,
 };
 
 const RATE: u64 = 100_000;
@@ -40,7 +40,7 @@
     entries: Vec<Allowance>,
     /// Whether reports from one entry reach another.
     linked: fn(usize, usize) -> bool,
-    in_transit: VecDeque<(u64, usize, Tally)>,
+    in_transit: VecDeque<(u64, usize, UsageReport)>,
     /// Admitted tokens by step.
     admitted: Vec<u64>,
     requested: u64,
@@ -221,7 +221,7 @@
     fleet.run(0, 4_000, 1_500, |_| RATE as f64);
     let mut fresh = Allowance::new("entry-0", 77, at(4_000));
     fresh.on_entries(["entry-0", "entry-1", "entry-2", "entry-3"].into_iter());
-    let part = Tally { whole: false, ..fleet.entries[1].usage_report(at(4_000), Number(1)) };
+    let part = UsageReport { whole: false, ..fleet.entries[1].usage_report(at(4_000), Number(1)) };
     assert!(!fresh.on_usage_report(at(4_000), part));
     fleet.entries[0] = fresh;
     fleet.admitted.clear();
--- a/kingcupbay_core/tests/engine/mod.rs
+++ b/kingcupbay_core/tests/engine/mod.rs
@@ -11,8 +11,8 @@
     random::Random,
     time::{Instant, Span},
     wire::{
-        ask::Size,
-        sidecar::{Verdict, Want},
+        metadata::Size,
+        sidecar::{PermitRequest, Verdict},
     },
 };
 
@@ -204,16 +204,16 @@
     AdapterName { model: "base".into(), adapter: Some("roses".into()) }
 }
 
-fn permit_request(id: usize, size: Size, target: u64) -> Want {
-    Want {
+fn permit_request(id: usize, size: Size, target: u64) -> PermitRequest {
+    PermitRequest {
         attempt: format!("a{id}"),
         name: name(),
         newest: None,
-        rank: 1,
+        priority: 1,
         size,
-        aim: Span::from_millis(target),
-        patience: Span::from_millis(2 * target),
-        gap: Some(Span::from_millis(300)),
+        latency_target: Span::from_millis(target),
+        max_wait: Span::from_millis(2 * target),
+        event_gap: Some(Span::from_millis(300)),
         entry: "127.0.0.1:1".parse().expect("an address"),
     }
 }
--- a/kingcupbayd/src/entry/answer.rs
+++ b/kingcupbayd/src/entry/answer.rs
@@ -90,7 +90,7 @@
         let message = format!("no model {} for this access key", parsed.model);
         Failure::not_run(Code::NotFound, message)
     })?;
-    let model = config.model(version).expect("a resolved version exists");
+    let model = config.model_name(version).expect("a resolved version exists");
     let max_tokens = parsed.max_tokens.unwrap_or(callers.max_tokens);
     let prompt_tokens = parsed.prompt.tokens();
     let tokens = prompt_tokens + u64::from(max_tokens);
--- a/kingcupbayd/src/upstream/run.rs
+++ b/kingcupbayd/src/upstream/run.rs
@@ -116,7 +116,7 @@
 impl RunStream {
     fn new(upstream: Rc<Upstream>, run: Run) -> RunStream {
         let (request, organisation) = (run.request, run.organisation);
-        let model = model_name(&upstream, &run);
+        let model = work_name(&upstream, &run);
         let name = upstream.organisation_name(organisation);
         let entered = upstream.active.enter(request, &name, &model, clock::now());
         entered.on_upstream(&upstream.upstream_name(run.upstream));
@@ -311,10 +311,10 @@
 
 /// Returns the name of the model or route that a run request asks for, as used
 /// in dumps and logs.
-fn model_name(upstream: &Upstream, run: &Run) -> String {
+fn work_name(upstream: &Upstream, run: &Run) -> String {
     let config = upstream.fleet.config();
     let name = match &run.work {
-        Work::Generate { version, .. } => config.model(*version),
+        Work::Generate { version, .. } => config.model_name(*version),
         Work::Call { route, .. } => config.routes.get(*route).map(|row| row.name.to_string()),
     };
     name.unwrap_or_else(|| "removed".to_owned())
@@ -344,7 +344,7 @@
     if adapter.is_none_or(|adapter| adapter.organisation != run.organisation) {
         return Err(Failure::not_run(Code::NotFound, "the version does not exist any more"));
     }
-    let model = config.model(version).expect("a known version has an adapter");
+    let model = config.model_name(version).expect("a known version has an adapter");
     let now = clock::now();
     let entry = Entry {
         request: run.request,
--- a/kingcupbayd/src/upstream/runner/orders.rs
+++ b/kingcupbayd/src/upstream/runner/orders.rs
@@ -57,7 +57,7 @@
 /// Loads an adapter version, and counts and logs the outcome.
 async fn load(runner: &Runner, version: VersionId, fencing: u64) -> Outcome {
     let config = runner.upstream.fleet.config();
-    let (Some(row), Some(name)) = (config.versions.get(version), config.model(version)) else {
+    let (Some(row), Some(name)) = (config.versions.get(version), config.model_name(version)) else {
         return Outcome::Failed;
     };
     let order = LoadAdapter { lora_name: name, lora_path: row.source.clone(), fencing };
@@ -77,7 +77,7 @@
     let config = runner.upstream.fleet.config();
     // A version removed from the configuration has no name here any more. The
     // engine's report still lists it, and it is unloaded by the name there.
-    let Some(name) = config.model(version) else { return Outcome::Unknown };
+    let Some(name) = config.model_name(version) else { return Outcome::Unknown };
     let order = UnloadAdapter { lora_name: name, fencing };
     let sent = engine::unload(&runner.upstream.clients, &runner.row.address, &order);
     let outcome = outcome_of(with_timeout(runner, ORDER_TIMEOUT, sent).await, false);
@@ -92,7 +92,7 @@
     let sent = engine::report(&runner.upstream.clients, &runner.row.address);
     let Ok(report) = with_timeout(runner, ORDER_TIMEOUT, sent).await else { return Vec::new() };
     let config = runner.upstream.fleet.config();
-    let known = |name: &String| config.version_of(name);
+    let known = |name: &String| config.version_by_model(name);
     let loaded = report.loaded.iter().filter_map(known).collect();
     unload_unknown(runner, &report).await;
     let as_of = asked - MAX_REPORT_LAG;
@@ -108,7 +108,7 @@
     let may_act = runner.upstream.fleet.may_act(now);
     let fencing = runner.state.borrow().slots.as_ref().map(kingcupbay_core::slot::Slots::fencing);
     let Some(fencing) = fencing.filter(|_| may_act) else { return };
-    for name in report.loaded.iter().filter(|name| config.version_of(name).is_none()) {
+    for name in report.loaded.iter().filter(|name| config.version_by_model(name).is_none()) {
         let order = UnloadAdapter { lora_name: name.clone(), fencing };
         let sent = engine::unload(&runner.upstream.clients, &runner.row.address, &order);
         let _ = with_timeout(runner, ORDER_TIMEOUT, sent).await;
