--- a/kingcupbayd/src/entry/outcome.rs
+++ b/kingcupbayd/src/entry/outcome.rs
@@ -34,7 +34,7 @@
 
 /// A refused request, with the name of its organisation if that is known.
 pub(crate) struct Refusal {
-    /// Name of the organisation; empty if the key is not valid.
+    /// Name of the organisation; empty if the caller was not authenticated.
     organisation: String,
     failure: Failure,
 }
--- a/kingcupbayd/src/fleet/peer.rs
+++ b/kingcupbayd/src/fleet/peer.rs
@@ -82,8 +82,8 @@
     }
 }
 
-/// Sends a request to a member and decodes its answer. On any error the pooled
-/// connections to the member are dropped.
+/// Sends a request to a member and decodes its answer. If no answer arrives, the
+/// pooled connections to the member are dropped.
 async fn request_from<T: DeserializeOwned>(
     fleet: &Fleet,
     to: MemberId,
--- a/kingcupbayd/src/upstream/runner/mod.rs
+++ b/kingcupbayd/src/upstream/runner/mod.rs
@@ -71,6 +71,7 @@
     runner: Rc<Runner>,
     request: RequestId,
     _pin: Pin,
+    /// Receives the notification that the engine lost the adapter.
     lost: oneshot::Receiver<()>,
     /// Tokens that the engine has used on the request.
     used_tokens: Cell<u64>,
