--- a/kingcupbay_soak/src/fleet.rs
+++ b/kingcupbay_soak/src/fleet.rs
@@ -9,7 +9,7 @@
 };
 
 use actix_rt::task::JoinHandle;
-use kingcupbay_standin::{Registry, Runner, RunnerSettings};
+use kingcupbay_standin::{Registry, UpstreamServer, UpstreamSettings};
 
 use crate::{
     daemon::{Daemon, Workshop},
@@ -65,7 +65,7 @@
     /// Its service.
     pub service: &'static str,
     /// The stand-in.
-    pub runner: Runner,
+    pub runner: UpstreamServer,
     /// Where it is registered.
     pub proxy: Proxy,
     /// Whether it is registered as leaving.
@@ -112,15 +112,15 @@
         let operator = Operator::default();
         operator.configure(&store, 1);
         let engine = |at: usize| {
-            let settings = RunnerSettings {
-                places: PLACES,
-                pause: PAUSE,
-                ..RunnerSettings::engine(&format!("gpu-{at}"), EVENTS)
+            let settings = UpstreamSettings {
+                adapter_slots: PLACES,
+                event_interval: PAUSE,
+                ..UpstreamSettings::engine(&format!("gpu-{at}"), EVENTS)
             };
             Upstream::start("writer", settings, engine_ip(at))
         };
         let desk = |at: usize| {
-            let settings = RunnerSettings::plain(&format!("desk-{at}"));
+            let settings = UpstreamSettings::plain(&format!("desk-{at}"));
             Upstream::start("desk", settings, Ipv4Addr::LOCALHOST.into())
         };
         let engines = (0..size.engines).map(engine).collect::<io::Result<Vec<_>>>()?;
@@ -161,7 +161,7 @@
     pub fn register(&self, upstream: &Upstream, leaving: bool) {
         upstream.leaving.set(leaving);
         let at = upstream.proxy.address();
-        let row = upstream.runner.registered_at(at, upstream.service, leaving);
+        let row = upstream.runner.registration_at(at, upstream.service, leaving);
         self.store.put("servers", &upstream.id, &row);
     }
 
@@ -169,7 +169,7 @@
     pub fn announce(&self, adapter: &str) {
         // Weights are there before they are announced.
         let next = self.operator.version(adapter) + 1;
-        self.engines.iter().for_each(|engine| engine.runner.announce(adapter, next));
+        self.engines.iter().for_each(|engine| engine.runner.set_newest_version(adapter, next));
         self.operator.announce(&self.store, adapter);
     }
 
@@ -195,9 +195,13 @@
 }
 
 impl Upstream {
-    fn start(service: &'static str, settings: RunnerSettings, ip: IpAddr) -> io::Result<Upstream> {
+    fn start(
+        service: &'static str,
+        settings: UpstreamSettings,
+        ip: IpAddr,
+    ) -> io::Result<Upstream> {
         let id = settings.id.clone();
-        let runner = Runner::start(any(), settings)?;
+        let runner = UpstreamServer::start(any(), settings)?;
         let proxy = Proxy::start(SocketAddr::new(ip, 0))?;
         proxy.aim(runner.server().address());
         Ok(Upstream { id, service, runner, proxy, leaving: Cell::new(false) })
--- a/kingcupbay_soak/src/promises.rs
+++ b/kingcupbay_soak/src/promises.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use kingcupbay_standin::{RunnerOrder, RunnerRun};
+use kingcupbay_standin::{UpstreamOrder, UpstreamRun};
 
 use crate::{
     fleet::EVENTS,
@@ -30,9 +30,9 @@
     /// Its id.
     pub id: String,
     /// Requests that it ran.
-    pub runs: Vec<RunnerRun>,
+    pub runs: Vec<UpstreamRun>,
     /// Orders that it accepted, by order of coming.
-    pub orders: Vec<RunnerOrder>,
+    pub orders: Vec<UpstreamOrder>,
     /// Orders to hold more than it has places for.
     pub overloads: u32,
 }
@@ -70,7 +70,7 @@
 }
 
 /// Runs by the attempt that they belong to, with the upstream of each.
-type Runs<'a> = BTreeMap<&'a str, Vec<(&'a str, &'a RunnerRun)>>;
+type Runs<'a> = BTreeMap<&'a str, Vec<(&'a str, &'a UpstreamRun)>>;
 
 /// Every promise that was broken.
 pub fn breaches(evidence: &Evidence<'_>) -> Vec<Breach> {
@@ -102,7 +102,7 @@
 fn unasked(sent: &[Sent], runs: &Runs<'_>) -> Vec<Breach> {
     let known: BTreeSet<&str> = sent.iter().map(|one| one.attempt.as_str()).collect();
     let strange = runs.iter().filter(|(attempt, _)| !known.contains(*attempt));
-    let seen = |(attempt, ran): (&&str, &Vec<(&str, &RunnerRun)>)| {
+    let seen = |(attempt, ran): (&&str, &Vec<(&str, &UpstreamRun)>)| {
         let ran: Vec<_> = ran.iter().map(|(id, run)| (id, &run.method, &run.path)).collect();
         breach("nobody sent it", format!("{attempt:?} at {ran:?}"))
     };
@@ -110,14 +110,14 @@
 }
 
 /// Upstreams get the caller's request, whose it is, and never the key.
-fn changed(one: &Sent, ran: &[(&str, &RunnerRun)]) -> Vec<Breach> {
-    let same = |run: &RunnerRun| {
+fn changed(one: &Sent, ran: &[(&str, &UpstreamRun)]) -> Vec<Breach> {
+    let same = |run: &UpstreamRun| {
         run.method.as_str() == one.kind.method().as_str()
             && run.path == one.path
             && run.body == one.body.as_bytes()
             && run.adapter() == one.adapter.as_deref()
     };
-    let own = |run: &RunnerRun| run.organisation() == Some(one.organisation) && !run.has_key();
+    let own = |run: &UpstreamRun| run.organisation() == Some(one.organisation) && !run.has_key();
     let mut found = Vec::new();
     for (id, run) in ran {
         if !same(run) {
@@ -131,7 +131,7 @@
     found
 }
 
-fn repeated(one: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
+fn repeated(one: &Sent, ran: &[(&str, &UpstreamRun)]) -> Option<Breach> {
     let most = if one.kind.once() { 1 } else { 2 };
     let seen = || {
         let at: Vec<&str> = ran.iter().map(|(id, _)| *id).collect();
@@ -141,14 +141,14 @@
 }
 
 /// "Not run" is true, also later.
-fn untrue(one: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
+fn untrue(one: &Sent, ran: &[(&str, &UpstreamRun)]) -> Option<Breach> {
     let refused = matches!(one.status(), Some(408 | 421 | 429 | 503));
     let lied = refused && one.kind.once() && !ran.is_empty();
     lied.then(|| breach("what is refused has not run", format!("{} {:?}", one.attempt, one.end)))
 }
 
 /// A success is whole and the request's own.
-fn foreign(one: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
+fn foreign(one: &Sent, ran: &[(&str, &UpstreamRun)]) -> Option<Breach> {
     let Some(End::Answered(answer)) = &one.end else { return None };
     if !(200..300).contains(&answer.status) {
         return None;
@@ -170,7 +170,7 @@
 
 /// With nothing but planned work, a request that reached an upstream is
 /// answered with what that upstream made.
-fn lost(one: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
+fn lost(one: &Sent, ran: &[(&str, &UpstreamRun)]) -> Option<Breach> {
     let cut = match &one.end {
         Some(End::Broken(_)) => !ran.is_empty(),
         Some(End::Answered(answer)) => matches!(answer.status, 500 | 502 | 504),
@@ -223,7 +223,7 @@
         .filter(|one| one.organisation == CLUB)
         .filter_map(|one| {
             let (_, run) = runs.get(one.attempt.as_str())?.first()?;
-            Some((one.at, run.at, one.tokens))
+            Some((one.at, run.started, one.tokens))
         })
         .collect();
     used.sort_unstable_by_key(|&(at, ..)| at);
--- a/kingcupbay_soak/src/run.rs
+++ b/kingcupbay_soak/src/run.rs
@@ -195,7 +195,7 @@
     let waits = sent.iter().find(|one| one.round > 0 && one.end.is_none());
     let ended =
         |attempt: &String| sent.iter().any(|one| one.attempt == *attempt && one.end.is_some());
-    let open = office.fleet.engines.iter().flat_map(|engine| engine.runner.open());
+    let open = office.fleet.engines.iter().flat_map(|engine| engine.runner.running_streams());
     waits.map(|one| one.attempt.clone()).or_else(|| open.into_iter().find(ended))
 }
 
@@ -213,8 +213,8 @@
         .map(|upstream| Witness {
             id: upstream.id.clone(),
             runs: upstream.runner.runs(),
-            orders: upstream.runner.holders(),
-            overloads: upstream.runner.overloads(),
+            orders: upstream.runner.order_issuers(),
+            overloads: upstream.runner.refused_loads(),
         })
         .collect();
     let numbers = office.fleet.operator.numbers();
--- a/kingcupbay_soak/tests/promises.rs
+++ b/kingcupbay_soak/tests/promises.rs
@@ -13,7 +13,7 @@
     promises::{Evidence, Witness, breaches},
     sent::{Answer, End, Kind, Sent},
 };
-use kingcupbay_standin::{RunnerOrder, RunnerRun};
+use kingcupbay_standin::{UpstreamOrder, UpstreamRun};
 
 /// One request of each shape, its answer, and the run that made it.
 struct Case {
@@ -66,12 +66,12 @@
         self.sent.last_mut().unwrap()
     }
 
-    fn runs(&mut self, attempt: &str) -> &mut RunnerRun {
+    fn runs(&mut self, attempt: &str) -> &mut UpstreamRun {
         let sent = self.sent.iter().find(|one| one.attempt == attempt).unwrap();
         let headers = BTreeMap::from([("x-tenant".to_owned(), sent.organisation.to_owned())]);
-        self.witness.runs.push(RunnerRun {
+        self.witness.runs.push(UpstreamRun {
             attempt: attempt.to_owned(),
-            at: sent.at,
+            started: sent.at,
             method: Method::try_from(sent.kind.method().as_str()).unwrap(),
             headers,
             path: sent.path.clone(),
@@ -230,7 +230,7 @@
 #[test]
 fn orders_out_of_order_are_seen() {
     let mut case = Case::new();
-    let order = |holder: &str, fencing| RunnerOrder { holder: holder.to_owned(), fencing };
+    let order = |holder: &str, fencing| UpstreamOrder { holder: holder.to_owned(), fencing };
     case.witness.orders = vec![order("h", 3), order("h", 3), order("h", 5)];
     assert_eq!(case.broken(), Vec::<&str>::new());
     case.witness.orders.push(order("g", 4));
--- a/kingcupbay_standin/src/lib.rs
+++ b/kingcupbay_standin/src/lib.rs
@@ -27,10 +27,10 @@
 mod operator;
 mod platform;
 mod registry;
-mod runner;
 mod server;
 mod service;
 mod table;
+mod upstream;
 mod weights;
 
 pub use self::{
@@ -46,9 +46,9 @@
     operator::{Asked, Declared, DeclaredOrganisation, DeclaredRoute, HOST, announcement, named},
     platform::{Platform, PlatformRecord},
     registry::Registry,
-    runner::{MODEL, Runner, RunnerOrder, RunnerRun, RunnerSettings},
     server::Server,
     service::{CALL_PATH, Executed, Executions, IDEMPOTENCY_HEADER, PlainService},
     table::{Table, TableRecord},
+    upstream::{BASE_MODEL, UpstreamOrder, UpstreamRun, UpstreamServer, UpstreamSettings},
     weights::{FULL_SPEED, LOAD_TIME, Sharing, Take, Weights, WeightsRecord},
 };
--- a/kingcupbay_standin/src/operator.rs
+++ b/kingcupbay_standin/src/operator.rs
@@ -4,7 +4,7 @@
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
 use serde_json::{Value, json};
 
-use crate::runner::MODEL;
+use crate::upstream::BASE_MODEL;
 
 /// Name that all callers address.
 pub const HOST: &str = "desk.example";
@@ -72,7 +72,7 @@
             "services": [{"name": "desk", "maxConns": 200},
                 {"name": "writer", "maxConns": 200, "engine": {"slots": 8,
                     "kvCacheTokens": 100_000, "adapterSlots": self.places, "weightsMb": 100.0,
-                    "models": [{"name": MODEL, "weightsMb": 50.0, "loadS": 1.0,
+                    "models": [{"name": BASE_MODEL, "weightsMb": 50.0, "loadS": 1.0,
                         "adapters": 10}]}}],
             "limits": {"maxHeaderBytes": 16_384, "maxBodyBytes": 1_000_000,
                 "headerTimeoutMs": 3_000, "idleTimeoutMs": 15_000},
@@ -82,8 +82,8 @@
 
 /// The row that announces `version` of `adapter`, with its key.
 pub fn announcement(adapter: &str, version: u32) -> (String, Value) {
-    let row = json!({"model": MODEL, "adapter": adapter, "version": version});
-    (format!("version/{MODEL}.{adapter}"), row)
+    let row = json!({"model": BASE_MODEL, "adapter": adapter, "version": version});
+    (format!("version/{BASE_MODEL}.{adapter}"), row)
 }
 
 /// What a caller says of its request.
@@ -116,7 +116,7 @@
         insert("x-token-usage", &format!("{prompt},{output}"));
         insert("authorization", &format!("Bearer {}", self.key));
         if let Some(adapter) = self.adapter {
-            insert("x-model", &format!("{MODEL}/{adapter}"));
+            insert("x-model", &format!("{BASE_MODEL}/{adapter}"));
         }
         headers
     }
--- a/kingcupbay_standin/src/runner.rs
+++ b/kingcupbay_standin/src/upstream.rs
@@ -24,11 +24,11 @@
 };
 
 /// The base model of every engine.
-pub const MODEL: &str = "base";
+pub const BASE_MODEL: &str = "base";
 
 /// How an upstream behaves.
 #[derive(Clone, Debug)]
-pub struct RunnerSettings {
+pub struct UpstreamSettings {
     /// Its id.
     pub id: String,
     /// Whether it is a model engine.
@@ -36,40 +36,46 @@
     /// Events of each stream.
     pub events: u64,
     /// Pause between two events.
-    pub pause: Duration,
+    pub event_interval: Duration,
     /// One stream breaks off after this many events.
-    pub cut: Option<u64>,
+    pub cut_after: Option<u64>,
     /// Places for adapters.
-    pub places: usize,
+    pub adapter_slots: usize,
 }
 
-impl RunnerSettings {
+impl UpstreamSettings {
     /// A plain service.
-    pub fn plain(id: &str) -> RunnerSettings {
-        RunnerSettings {
+    pub fn plain(id: &str) -> UpstreamSettings {
+        UpstreamSettings {
             id: id.to_owned(),
             engine: false,
             events: 0,
-            pause: Duration::ZERO,
-            cut: None,
-            places: 0,
+            event_interval: Duration::ZERO,
+            cut_after: None,
+            adapter_slots: 0,
         }
     }
 
     /// An engine whose streams have `events` events.
-    pub fn engine(id: &str, events: u64) -> RunnerSettings {
-        let pause = Duration::from_millis(5);
-        RunnerSettings { engine: true, events, pause, places: 2, ..RunnerSettings::plain(id) }
+    pub fn engine(id: &str, events: u64) -> UpstreamSettings {
+        let event_interval = Duration::from_millis(5);
+        UpstreamSettings {
+            engine: true,
+            events,
+            event_interval,
+            adapter_slots: 2,
+            ..UpstreamSettings::plain(id)
+        }
     }
 }
 
 /// A request that an upstream began to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunnerRun {
+pub struct UpstreamRun {
     /// Identity of the caller's attempt.
     pub attempt: String,
     /// When it began.
-    pub at: Instant,
+    pub started: Instant,
     /// The method.
     pub method: Method,
     /// Headers as they came, by lower-case name.
@@ -80,7 +86,7 @@
     pub body: Vec<u8>,
 }
 
-impl RunnerRun {
+impl UpstreamRun {
     /// The organisation that it is told to run for.
     pub fn organisation(&self) -> Option<&str> {
         self.headers.get("x-tenant").map(String::as_str)
@@ -104,7 +110,7 @@
 
 /// Who gave an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunnerOrder {
+pub struct UpstreamOrder {
     /// The host.
     pub holder: String,
     /// Its fencing number.
@@ -112,15 +118,15 @@
 }
 
 /// A running upstream.
-pub struct Runner {
+pub struct UpstreamServer {
     server: Server,
     state: Rc<State>,
 }
 
 struct State {
-    settings: RunnerSettings,
+    settings: UpstreamSettings,
     cut: Cell<Option<u64>>,
-    runs: RefCell<Vec<RunnerRun>>,
+    runs: RefCell<Vec<UpstreamRun>>,
     /// Streams whose caller has left before their end.
     left: Cell<u32>,
     open: RefCell<BTreeMap<String, u64>>,
@@ -132,11 +138,11 @@
     changes: Changes,
 }
 
-impl Runner {
+impl UpstreamServer {
     /// Starts an upstream on `address`, on the current thread.
-    pub fn start(address: SocketAddr, settings: RunnerSettings) -> io::Result<Runner> {
+    pub fn start(address: SocketAddr, settings: UpstreamSettings) -> io::Result<UpstreamServer> {
         let state = Rc::new(State {
-            cut: Cell::new(settings.cut),
+            cut: Cell::new(settings.cut_after),
             settings,
             runs: RefCell::default(),
             left: Cell::new(0),
@@ -152,7 +158,7 @@
         let restart = Rc::new(move || restarted.restart());
         let behaviour = Behaviour { restart, ..Behaviour::new(handler(&state)) };
         let server = Server::start(address, behaviour)?;
-        Ok(Runner { server, state })
+        Ok(UpstreamServer { server, state })
     }
 
     /// The server under it.
@@ -168,30 +174,30 @@
     }
 
     /// What it began to run.
-    pub fn runs(&self) -> Vec<RunnerRun> {
+    pub fn runs(&self) -> Vec<UpstreamRun> {
         self.state.runs.borrow().clone()
     }
 
     /// Waits until it has begun to run this many requests.
-    pub async fn ran(&self, count: usize) {
+    pub async fn wait_for_runs(&self, count: usize) {
         let state = &self.state;
         until(state.changes.subscribe(), || state.runs.borrow().len() >= count).await;
     }
 
     /// Waits until this many callers have left a stream before its end.
-    pub async fn left(&self, count: u32) {
+    pub async fn wait_for_disconnects(&self, count: u32) {
         let state = &self.state;
         until(state.changes.subscribe(), || state.left.get() >= count).await;
     }
 
     /// Identities of the streams that run.
-    pub fn open(&self) -> Vec<String> {
+    pub fn running_streams(&self) -> Vec<String> {
         self.state.open.borrow().keys().cloned().collect()
     }
 
     /// Orders to hold more than there are places for; a real engine would
     /// have crashed at each.
-    pub fn overloads(&self) -> u32 {
+    pub fn refused_loads(&self) -> u32 {
         self.state.overloads.get()
     }
 
@@ -201,8 +207,8 @@
     }
 
     /// Who gave the orders that it accepted, as they came.
-    pub fn holders(&self) -> Vec<RunnerOrder> {
-        let order = |order: &Value| RunnerOrder {
+    pub fn order_issuers(&self) -> Vec<UpstreamOrder> {
+        let order = |order: &Value| UpstreamOrder {
             holder: order["holder"].as_str().unwrap_or_default().to_owned(),
             fencing: order["fenceToken"].as_u64().unwrap_or_default(),
         };
@@ -210,7 +216,7 @@
     }
 
     /// Its registration at another address, leaving or not.
-    pub fn registered_at(&self, address: SocketAddr, service: &str, leaving: bool) -> Value {
+    pub fn registration_at(&self, address: SocketAddr, service: &str, leaving: bool) -> Value {
         let state = if leaving { "draining" } else { "ready" };
         let mut row = self.registration(service, state);
         row["address"] = json!(address.to_string());
@@ -218,7 +224,7 @@
     }
 
     /// Makes a newer version of an adapter the one that loads fetch.
-    pub fn announce(&self, adapter: &str, version: u32) {
+    pub fn set_newest_version(&self, adapter: &str, version: u32) {
         self.state.newest.borrow_mut().insert(adapter.to_owned(), version);
     }
 }
@@ -245,7 +251,9 @@
         let mut adapters = self.adapters.borrow_mut();
         match order["operation"].as_str() {
             Some("unload") => drop(adapters.remove(&adapter)),
-            _ if adapters.len() >= self.settings.places && !adapters.contains_key(&adapter) => {
+            _ if adapters.len() >= self.settings.adapter_slots
+                && !adapters.contains_key(&adapter) =>
+            {
                 self.overloads.set(self.overloads.get() + 1);
                 return call::empty(StatusCode::BAD_REQUEST);
             }
@@ -264,7 +272,7 @@
         let open = self.open.borrow();
         let runs: Vec<Value> = open.iter().map(|(id, events)| json!([id, 10, events, 5])).collect();
         call::json(&json!({"stage": "colocated", "busy": false, "seq": self.orders.get(),
-            "models": [{"name": MODEL, "version": 1, "adapters": adapters}],
+            "models": [{"name": BASE_MODEL, "version": 1, "adapters": adapters}],
             "queued": 0, "inFlight": runs.len(), "kvUsed": 0, "kvTotal": 100_000,
             "handles": 0, "pending": [], "runs": runs, "state": "ready", "born": 1}))
     }
@@ -290,9 +298,9 @@
             (name.as_str().to_owned(), value.to_str().unwrap_or_default().to_owned())
         };
         let query = if call.query.is_empty() { String::new() } else { format!("?{}", call.query) };
-        self.runs.borrow_mut().push(RunnerRun {
+        self.runs.borrow_mut().push(UpstreamRun {
             attempt: attempt.clone(),
-            at: Instant::now(),
+            started: Instant::now(),
             method: call.method.clone(),
             headers: call.headers.iter().map(named).collect(),
             path: format!("{}{query}", call.path),
@@ -340,7 +348,7 @@
             self.ended = true;
             return None;
         }
-        tokio::time::sleep(self.state.settings.pause).await;
+        tokio::time::sleep(self.state.settings.event_interval).await;
         if self.state.cut.get().is_some_and(|cut| self.sent >= cut) {
             self.state.cut.set(None);
             self.ended = true;
--- a/kingcupbayd/tests/common/registered.rs
+++ b/kingcupbayd/tests/common/registered.rs
@@ -4,7 +4,7 @@
 use std::{net::SocketAddr, path::PathBuf};
 
 use kingcupbay_standin::{
-    Declared, DeclaredOrganisation, DeclaredRoute, Registry, Runner, RunnerSettings,
+    Declared, DeclaredOrganisation, DeclaredRoute, Registry, UpstreamServer, UpstreamSettings,
 };
 use serde_json::Value;
 
@@ -78,7 +78,7 @@
     start("entry", host, store, &format!("ready = 127.0.0.1:0\nsidecars = {sidecars}\n"))
 }
 
-pub(crate) fn sidecar(host: &str, store: &Registry, engine: &Runner) -> Process {
+pub(crate) fn sidecar(host: &str, store: &Registry, engine: &UpstreamServer) -> Process {
     let engine = engine.server().address();
     start("upstream", host, store, &format!("engine = {engine}\nservice = writer\n"))
 }
@@ -92,7 +92,7 @@
         Fleet { store, entry }
     }
 
-    pub(crate) fn register(&self, id: &str, service: &str, upstream: &Runner) {
+    pub(crate) fn register(&self, id: &str, service: &str, upstream: &UpstreamServer) {
         self.store.put("servers", id, &upstream.registration(service, "ready"));
     }
 
@@ -155,10 +155,10 @@
     &[("x-model", "base/roses"), ("x-token-usage", "100,50")];
 
 /// An engine with its daemon, and an entry that knows both.
-pub(crate) async fn engine_fleet(settings: RunnerSettings) -> (Fleet, Runner, Process) {
+pub(crate) async fn engine_fleet(settings: UpstreamSettings) -> (Fleet, UpstreamServer, Process) {
     let store = Registry::start(ANY).unwrap();
     store.put("op", "config", &config(1, &[KEY]));
-    let engine = Runner::start(ANY, settings).unwrap();
+    let engine = UpstreamServer::start(ANY, settings).unwrap();
     let beside = sidecar("upstream-1", &store, &engine);
     let entry = entry("entry-1", &store, beside.address("peers").port());
     let fleet = Fleet { store, entry };
--- a/kingcupbayd/tests/listen.rs
+++ b/kingcupbayd/tests/listen.rs
@@ -21,7 +21,7 @@
         tally::Tally,
     },
 };
-use kingcupbay_standin::{Fault, FaultOrder, Rule, Runner, RunnerSettings};
+use kingcupbay_standin::{Fault, FaultOrder, Rule, UpstreamServer, UpstreamSettings};
 use serde_json::json;
 
 const READERS: [&str; 4] = ["reader-1", "reader-2", "reader-3", "reader-4"];
@@ -79,7 +79,7 @@
     .await;
 }
 
-fn desk(id: &str, upstream: &Runner, version: u64) -> Instance {
+fn desk(id: &str, upstream: &UpstreamServer, version: u64) -> Instance {
     Instance {
         id: id.to_owned(),
         service: "desk".to_owned(),
@@ -109,7 +109,7 @@
 #[actix_rt::test]
 async fn a_listener_acts_on_what_readers_tell() {
     let mut fleet = listener().await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     // An entry admits nothing until it finds itself on the list.
     until("the list", async || (status(&fleet, "a0").await == 503).then_some(())).await;
     tell_until(&mut fleet, &[Table::Upstreams], 100, "table=servers event=listens").await;
@@ -128,7 +128,7 @@
 #[actix_rt::test]
 async fn a_listener_reads_once_the_readers_are_silent() {
     let mut fleet = listener().await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     let now = version(&fleet);
     tell_until(&mut fleet, &[Table::Upstreams], now, "table=servers event=listens").await;
     fleet.register("desk-1", "desk", &upstream);
@@ -148,7 +148,7 @@
 #[actix_rt::test]
 async fn a_listener_that_missed_a_change_reads_it() {
     let mut fleet = listener().await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     let now = version(&fleet);
     tell_until(&mut fleet, &[Table::Upstreams], now, "table=servers event=listens").await;
     fleet.register("desk-1", "desk", &upstream);
@@ -165,7 +165,7 @@
 #[actix_rt::test]
 async fn a_listener_gives_up_a_feed_that_missed_a_configuration() {
     let mut fleet = listener().await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
     // An entry admits nothing until it finds itself on the list.
     until("an answer", async || (status(&fleet, "a1").await == 200).then_some(())).await;
@@ -195,7 +195,7 @@
 #[actix_rt::test]
 async fn one_feed_finds_out_that_the_store_is_back() {
     let mut fleet = Fleet::start(1).await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
     fleet.ready().await;
     fleet.store.server().set(Rule::new(Fault::Silent));
--- a/kingcupbayd/tests/news.rs
+++ b/kingcupbayd/tests/news.rs
@@ -12,7 +12,7 @@
     until,
 };
 use kingcupbay_core::{id::Number, wire::tally::Tally};
-use kingcupbay_standin::{Fault, FaultOrder, Registry, Rule, Runner, RunnerSettings};
+use kingcupbay_standin::{Fault, FaultOrder, Registry, Rule, UpstreamServer, UpstreamSettings};
 use serde_json::json;
 
 /// An entry on `host` that follows a store of its own, which knows `config(1)`.
@@ -51,7 +51,7 @@
 #[actix_rt::test]
 async fn an_entry_cut_off_from_the_store_hears_who_leaves() {
     let [mut cut, other] = two();
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     for fleet in [&cut, &other] {
         fleet.register("desk-1", "desk", &desk);
         fleet.ready().await;
@@ -85,7 +85,7 @@
 async fn what_an_entry_was_told_it_tells_on() {
     let fleets = [alone("entry-1"), alone("entry-2"), alone("entry-3")];
     let [first, second, third] = &fleets;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     third.register("desk-1", "desk", &desk);
     third.ready().await;
     list(first, "entry-2", second);
@@ -107,7 +107,7 @@
 #[actix_rt::test]
 async fn an_entry_that_is_behind_calls_nothing_unknown() {
     let fleet = Fleet::start(1).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
     fleet.ready().await;
     assert_eq!(fleet.ask_with("GET", "/seats/today", "a1", "new-key", &[]).await.status, 401);
@@ -141,7 +141,7 @@
 async fn a_listed_desk_goes_before_one_that_is_missing() {
     let mut fleet = Fleet::start(1).await;
     let desks = ["desk-1", "desk-2"].map(|id| {
-        let desk = Runner::start(ANY, RunnerSettings::plain(id)).unwrap();
+        let desk = UpstreamServer::start(ANY, UpstreamSettings::plain(id)).unwrap();
         fleet.register(id, "desk", &desk);
         desk
     });
--- a/kingcupbayd/tests/registered.rs
+++ b/kingcupbayd/tests/registered.rs
@@ -14,7 +14,7 @@
     registered::{ANY, Fleet, Got, KEY, config, entry},
     until,
 };
-use kingcupbay_standin::{Fault, Registry, Rule, Runner, RunnerSettings};
+use kingcupbay_standin::{Fault, Registry, Rule, UpstreamServer, UpstreamSettings};
 use serde_json::json;
 
 /// A visitor asks for seats. The desk's answer reaches them with its status,
@@ -23,7 +23,7 @@
 #[actix_rt::test]
 async fn a_plain_answer_is_passed_on_unchanged() {
     let fleet = Fleet::start(1).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
     fleet.ready().await;
     let extra = [("x-tenant", "another"), ("x-hold", "7"), ("x-party", "2")];
@@ -60,7 +60,7 @@
 #[actix_rt::test]
 async fn a_withdrawn_key_stops_working_and_stays_withdrawn() {
     let fleet = Fleet::start(1).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
     fleet.ready().await;
     assert_eq!(fleet.ask("GET", "/seats/today", "a1").await.status, 200);
@@ -84,7 +84,7 @@
 #[actix_rt::test]
 async fn a_dropped_history_is_read_anew() {
     let fleet = Fleet::start(1).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
     fleet.ready().await;
     fleet.store.put("op", "config", &config(2, &["another-key"]));
@@ -106,7 +106,7 @@
     for row in 0..600 {
         store.put("servers", &format!("a & {row}\u{1}%"), &json!({"state": "gone"}));
     }
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     store.put("servers", "desk-1", &desk.registration("desk", "ready"));
     let entry = entry("entry-1", &store, 1);
     let fleet = Fleet { store, entry };
@@ -121,7 +121,7 @@
     let fleet = Fleet::start(1).await;
     fleet.store.put_bytes("servers", "bytes", &[0xff, 0x00]);
     fleet.store.put("servers", "half", &json!({"service": "desk", "state": "ready"}));
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
     fleet.ready().await;
     assert_eq!(fleet.ask("GET", "/seats/today", "a1").await.status, 200);
@@ -134,7 +134,7 @@
 async fn a_booking_whose_answer_is_lost_is_not_sent_again() {
     let fleet = Fleet::start(1).await;
     let desks = ["desk-1", "desk-2"].map(|id| {
-        let desk = Runner::start(ANY, RunnerSettings::plain(id)).unwrap();
+        let desk = UpstreamServer::start(ANY, UpstreamSettings::plain(id)).unwrap();
         desk.server().set(Rule::new(Fault::LoseAnswer).path("/book/"));
         fleet.register(id, "desk", &desk);
         desk
@@ -152,7 +152,7 @@
 async fn a_lookup_whose_answer_is_lost_goes_to_another_desk() {
     let fleet = Fleet::start(1).await;
     let desks = ["desk-1", "desk-2"].map(|id| {
-        let desk = Runner::start(ANY, RunnerSettings::plain(id)).unwrap();
+        let desk = UpstreamServer::start(ANY, UpstreamSettings::plain(id)).unwrap();
         fleet.register(id, "desk", &desk);
         desk
     });
@@ -266,7 +266,7 @@
     let fleet = Fleet::start(1).await;
     let listed = || fleet.store.keys("entries") == ["entry-1"];
     until("the registration", async || listed().then_some(())).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
     fleet.ready().await;
     fleet.store.put(
@@ -295,7 +295,7 @@
     limited["tenants"][0]["ratePerS"] = json!(1);
     limited["tenants"][0]["burst"] = json!(1_000);
     store.put("op", "config", &limited);
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     store.put("servers", "desk-1", &desk.registration("desk", "ready"));
     let fleets: Vec<Fleet> = ["entry-1", "entry-2"]
         .into_iter()
@@ -330,7 +330,7 @@
     /// Within this an upstream that leaves must get nothing new.
     const LEAVING_MS: u64 = 2_000;
     let fleet = Fleet::start(1).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
     fleet.ready().await;
     fleet.store.set_deaf(true);
--- a/kingcupbayd/tests/streams.rs
+++ b/kingcupbayd/tests/streams.rs
@@ -15,7 +15,7 @@
     registered::{KEY, STREAM, engine_fleet, ids, settings, tour},
     until,
 };
-use kingcupbay_standin::{Registry, Runner, RunnerSettings};
+use kingcupbay_standin::{Registry, UpstreamServer, UpstreamSettings};
 use serde_json::json;
 
 /// A tour driver asks for an itinerary by an adapter that no engine holds. The
@@ -23,7 +23,7 @@
 /// that came, so that no other can run it.
 #[actix_rt::test]
 async fn a_cold_adapter_is_loaded_and_its_version_named() {
-    let (fleet, engine, _beside) = engine_fleet(RunnerSettings::engine("gpu-1", 4)).await;
+    let (fleet, engine, _beside) = engine_fleet(UpstreamSettings::engine("gpu-1", 4)).await;
     let got = tour(&fleet, "a1", None).await;
     assert_eq!((got.status, ids(got.body.as_ref().unwrap())), (200, vec![1, 2, 3, 4]));
     let orders = engine.orders();
@@ -37,7 +37,7 @@
 /// and how long streams stood still on the metrics addresses of both daemons.
 #[actix_rt::test]
 async fn both_daemons_count_what_became_of_a_stream() {
-    let (fleet, _engine, beside) = engine_fleet(RunnerSettings::engine("gpu-1", 4)).await;
+    let (fleet, _engine, beside) = engine_fleet(UpstreamSettings::engine("gpu-1", 4)).await;
     assert_eq!(tour(&fleet, "a1", None).await.status, 200);
     let counts = get(&beside, "/metrics").await;
     for line in [
@@ -56,7 +56,7 @@
 /// each would cost the engine a handshake and a slot for its time.
 #[actix_rt::test]
 async fn a_whole_stream_leaves_its_connection_for_the_next() {
-    let (fleet, engine, _beside) = engine_fleet(RunnerSettings::engine("gpu-1", 2)).await;
+    let (fleet, engine, _beside) = engine_fleet(UpstreamSettings::engine("gpu-1", 2)).await;
     assert_eq!(tour(&fleet, "a1", None).await.status, 200);
     let before = engine.server().connections();
     assert_eq!(tour(&fleet, "a2", None).await.status, 200);
@@ -68,9 +68,9 @@
 /// idle. The next visitor must be answered by the new one.
 #[actix_rt::test]
 async fn an_announced_version_replaces_the_old_one() {
-    let (fleet, engine, _beside) = engine_fleet(RunnerSettings::engine("gpu-1", 2)).await;
+    let (fleet, engine, _beside) = engine_fleet(UpstreamSettings::engine("gpu-1", 2)).await;
     assert_eq!(tour(&fleet, "a1", None).await.status, 200);
-    engine.announce("roses", 2);
+    engine.set_newest_version("roses", 2);
     let row = json!({"model": "base", "adapter": "roses", "version": 2});
     fleet.store.put("op", "version/base.roses", &row);
     until("the new version", async || {
@@ -91,7 +91,7 @@
 
 /// The daemon beside a second engine listens where the entry looks for it: at
 /// that engine's address, at the port of the first.
-fn second_sidecar(store: &Registry, engine: &Runner, port: u16) -> Process {
+fn second_sidecar(store: &Registry, engine: &UpstreamServer, port: u16) -> Process {
     let text = settings(
         "upstream",
         "upstream-2",
@@ -112,9 +112,9 @@
 /// last whole event, and the caller gets each event once.
 #[actix_rt::test]
 async fn a_broken_stream_goes_on_at_another_engine() {
-    let cut = |id| RunnerSettings { cut: Some(3), ..RunnerSettings::engine(id, 6) };
+    let cut = |id| UpstreamSettings { cut_after: Some(3), ..UpstreamSettings::engine(id, 6) };
     let (mut fleet, first, mut beside) = engine_fleet(cut("gpu-1")).await;
-    let second = Runner::start(SocketAddr::new(second_host(), 0), cut("gpu-2")).unwrap();
+    let second = UpstreamServer::start(SocketAddr::new(second_host(), 0), cut("gpu-2")).unwrap();
     let mut other = second_sidecar(&fleet.store, &second, beside.address("peers").port());
     fleet.register("gpu-2", "writer", &second);
     until("both engines", async || {
@@ -141,9 +141,9 @@
 /// be told at once, or it works on for nobody.
 #[actix_rt::test]
 async fn a_caller_that_leaves_ends_the_engines_run() {
-    let slow = RunnerSettings {
-        pause: Duration::from_millis(50),
-        ..RunnerSettings::engine("gpu-1", 100_000)
+    let slow = UpstreamSettings {
+        event_interval: Duration::from_millis(50),
+        ..UpstreamSettings::engine("gpu-1", 100_000)
     };
     let (fleet, engine, _beside) = engine_fleet(slow).await;
     let url = format!("http://{}/tour/day", fleet.entry.address("callers"));
@@ -162,20 +162,22 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    engine.ran(1).await;
-    tokio::time::timeout(PATIENCE, engine.left(1)).await.unwrap();
+    engine.wait_for_runs(1).await;
+    tokio::time::timeout(PATIENCE, engine.wait_for_disconnects(1)).await.unwrap();
 }
 
 /// The platform stops an entry. It says at once that it is not ready, lets the
 /// running stream end whole, and only then goes.
 #[actix_rt::test]
 async fn a_planned_stop_cuts_no_stream() {
-    let slow =
-        RunnerSettings { pause: Duration::from_millis(20), ..RunnerSettings::engine("gpu-1", 60) };
+    let slow = UpstreamSettings {
+        event_interval: Duration::from_millis(20),
+        ..UpstreamSettings::engine("gpu-1", 60)
+    };
     let (fleet, engine, _beside) = engine_fleet(slow).await;
     let asked = tour(&fleet, "a1", None);
     let stopped = async {
-        engine.ran(1).await;
+        engine.wait_for_runs(1).await;
         fleet.entry.signal("-TERM");
         let url = format!("http://{}/ready", fleet.entry.address("ready"));
         until("unreadiness", async || {
