--- a/kingcupbay_soak/src/callers.rs
+++ b/kingcupbay_soak/src/callers.rs
@@ -8,7 +8,7 @@
 
 use actix_http::header::{self, HeaderMap};
 use kingcupbay_core::random::Random;
-use kingcupbay_standin::{Asked, named};
+use kingcupbay_standin::{CallerRequest, attempt_and_signature};
 use kingcupbayd::{Link, LinkError};
 
 use crate::{
@@ -232,7 +232,7 @@
     while let Some(chunk) = link.chunk().await? {
         bytes.extend_from_slice(&chunk);
     }
-    let (attempt, stamp) = named(&head.headers);
+    let (attempt, stamp) = attempt_and_signature(&head.headers);
     Ok(Answer {
         status: head.status.as_u16(),
         stamp,
@@ -243,7 +243,7 @@
 }
 
 fn headers(sent: &Sent) -> HeaderMap {
-    let asked = Asked {
+    let asked = CallerRequest {
         attempt: &sent.attempt,
         key: &sent.key,
         deadline: TIMEOUT,
--- a/kingcupbay_soak/src/operator.rs
+++ b/kingcupbay_soak/src/operator.rs
@@ -5,7 +5,9 @@
     collections::{BTreeMap, BTreeSet},
 };
 
-use kingcupbay_standin::{Declared, DeclaredOrganisation, DeclaredRoute, Registry, announcement};
+use kingcupbay_standin::{
+    DeclaredConfig, DeclaredOrganisation, DeclaredRoute, Registry, announcement_row,
+};
 
 use crate::fleet::PLACES;
 
@@ -58,7 +60,7 @@
         let mut versions = self.versions.borrow_mut();
         let version = versions.entry(adapter.to_owned()).or_insert(1);
         *version += 1;
-        let (key, row) = announcement(adapter, *version);
+        let (key, row) = announcement_row(adapter, *version);
         store.put("op", &key, &row);
         *version
     }
@@ -84,21 +86,21 @@
     format!("{organisation}-key")
 }
 
-fn configuration(number: u64) -> Declared {
-    let route = |name, kind, service, attempts| DeclaredRoute {
+fn configuration(number: u64) -> DeclaredConfig {
+    let route = |name, kind, service, max_attempts| DeclaredRoute {
         name,
         kind,
         resumable: name == "tour",
         service,
-        attempts,
+        max_attempts,
     };
     let organisation = |name: &str, key: String, rate: u64| DeclaredOrganisation {
         name: name.to_owned(),
         keys: vec![key],
         rate,
-        plain: 10,
+        plain_tokens: 10,
     };
-    Declared {
+    DeclaredConfig {
         number,
         routes: vec![
             route("seats", "idempotent", "desk", 2),
@@ -112,7 +114,7 @@
             organisation(GUESTS, guest_key(number), 0),
         ],
         timeout: TIMEOUT,
-        aim: AIM,
-        places: PLACES,
+        latency_target: AIM,
+        adapter_slots: PLACES,
     }
 }
--- a/kingcupbay_soak/src/trouble.rs
+++ b/kingcupbay_soak/src/trouble.rs
@@ -156,7 +156,7 @@
         Trouble::Answers(at, fault) => set(upstream(at).runner.server(), fault, lasts).await,
         Trouble::Restart(at) => fleet.engines[at].runner.server().order(FaultOrder::Restart),
         Trouble::Calls(fault) => set(fleet.store.server(), fault, lasts).await,
-        Trouble::Forget => fleet.store.forget(),
+        Trouble::Forget => fleet.store.drop_history(),
         Trouble::Configure(step) => fleet.operator.configure(&fleet.store, step),
         Trouble::Announce(adapter) => fleet.announce(ADAPTERS[adapter]),
         Trouble::Leave(at) => leave(fleet, upstream(at), lasts).await,
--- a/kingcupbay_standin/src/lib.rs
+++ b/kingcupbay_standin/src/lib.rs
@@ -43,7 +43,10 @@
     fault::{Active, Fault, FaultOrder, Faults, Rule, RuleId},
     hosts::{HostList, Lag},
     objects::{Objects, ObjectsRecord},
-    operator::{Asked, Declared, DeclaredOrganisation, DeclaredRoute, HOST, announcement, named},
+    operator::{
+        CallerRequest, DeclaredConfig, DeclaredOrganisation, DeclaredRoute, ROUTE_HOST,
+        announcement_row, attempt_and_signature,
+    },
     platform::{Platform, PlatformRecord},
     registry::Registry,
     server::Server,
--- a/kingcupbay_standin/src/operator.rs
+++ b/kingcupbay_standin/src/operator.rs
@@ -7,7 +7,7 @@
 use crate::upstream::BASE_MODEL;
 
 /// Name that all callers address.
-pub const HOST: &str = "desk.example";
+pub const ROUTE_HOST: &str = "desk.example";
 
 /// A declared route.
 #[derive(Clone, Copy, Debug)]
@@ -21,7 +21,7 @@
     /// The service that it leads to.
     pub service: &'static str,
     /// Upstreams that a request may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
 }
 
 /// A declared organisation.
@@ -34,12 +34,12 @@
     /// Its rate in tokens a second and its burst; zero is no limit.
     pub rate: u64,
     /// What a request counts that names no tokens.
-    pub plain: u64,
+    pub plain_tokens: u64,
 }
 
 /// A whole configuration with a service `desk` and one `writer` of engines.
 #[derive(Clone, Debug)]
-pub struct Declared {
+pub struct DeclaredConfig {
     /// Its number.
     pub number: u64,
     /// Its routes.
@@ -49,29 +49,29 @@
     /// Time in which a request must have its answer, in milliseconds.
     pub timeout: u64,
     /// Aim for an answer or a first event, in milliseconds.
-    pub aim: u64,
+    pub latency_target: u64,
     /// Places for adapters of each engine.
-    pub places: usize,
+    pub adapter_slots: usize,
 }
 
-impl Declared {
+impl DeclaredConfig {
     /// As the operator writes it.
     pub fn row(&self) -> Value {
         let route = |route: &DeclaredRoute| {
-            json!({"name": route.name, "host": HOST, "pathPrefix": format!("/{}/", route.name),
-                "kind": route.kind, "timeoutMs": self.timeout, "targetLatencyMs": self.aim,
-                "priority": 1, "service": route.service, "maxAttempts": route.attempts,
+            json!({"name": route.name, "host": ROUTE_HOST, "pathPrefix": format!("/{}/", route.name),
+                "kind": route.kind, "timeoutMs": self.timeout, "targetLatencyMs": self.latency_target,
+                "priority": 1, "service": route.service, "maxAttempts": route.max_attempts,
                 "allowAnonymous": false, "resumable": route.resumable})
         };
         let organisation = |row: &DeclaredOrganisation| {
             json!({"name": row.name, "apiKeys": row.keys, "unit": "tokens",
-                "plainTokens": row.plain, "ratePerS": row.rate, "burst": row.rate})
+                "plainTokens": row.plain_tokens, "ratePerS": row.rate, "burst": row.rate})
         };
         json!({"version": self.number,
             "routes": self.routes.iter().map(route).collect::<Vec<_>>(),
             "services": [{"name": "desk", "maxConns": 200},
                 {"name": "writer", "maxConns": 200, "engine": {"slots": 8,
-                    "kvCacheTokens": 100_000, "adapterSlots": self.places, "weightsMb": 100.0,
+                    "kvCacheTokens": 100_000, "adapterSlots": self.adapter_slots, "weightsMb": 100.0,
                     "models": [{"name": BASE_MODEL, "weightsMb": 50.0, "loadS": 1.0,
                         "adapters": 10}]}}],
             "limits": {"maxHeaderBytes": 16_384, "maxBodyBytes": 1_000_000,
@@ -81,14 +81,14 @@
 }
 
 /// The row that announces `version` of `adapter`, with its key.
-pub fn announcement(adapter: &str, version: u32) -> (String, Value) {
+pub fn announcement_row(adapter: &str, version: u32) -> (String, Value) {
     let row = json!({"model": BASE_MODEL, "adapter": adapter, "version": version});
     (format!("version/{BASE_MODEL}.{adapter}"), row)
 }
 
 /// What a caller says of its request.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct CallerRequest<'a> {
     /// Identity of the attempt.
     pub attempt: &'a str,
     /// Its key.
@@ -101,7 +101,7 @@
     pub adapter: Option<&'a str>,
 }
 
-impl Asked<'_> {
+impl CallerRequest<'_> {
     /// As headers.
     pub fn headers(&self) -> HeaderMap {
         let mut headers = HeaderMap::new();
@@ -110,7 +110,7 @@
             headers.insert(HeaderName::from_static(name), value);
         };
         let (prompt, output) = self.tokens;
-        insert("host", HOST);
+        insert("host", ROUTE_HOST);
         insert("x-attempt-id", self.attempt);
         insert("x-deadline-ms", &self.deadline.to_string());
         insert("x-token-usage", &format!("{prompt},{output}"));
@@ -123,7 +123,7 @@
 }
 
 /// The attempt that an answer names, and the proof that an upstream made it.
-pub fn named(headers: &HeaderMap) -> (Option<String>, Option<String>) {
+pub fn attempt_and_signature(headers: &HeaderMap) -> (Option<String>, Option<String>) {
     let text = |name: &str| Some(headers.get(name)?.to_str().ok()?.to_owned());
     (text("x-attempt-id"), text("x-response-stamp"))
 }
--- a/kingcupbay_standin/src/registry.rs
+++ b/kingcupbay_standin/src/registry.rs
@@ -45,13 +45,13 @@
     rows: RefCell<BTreeMap<RowKey, (String, u64)>>,
     history: RefCell<Vec<Entry>>,
     /// History before this version is gone.
-    forgotten: RefCell<u64>,
+    dropped_until: RefCell<u64>,
     version: RefCell<u64>,
     changes: Changes,
     /// Feeds that begin now hear of nothing until their wait is over.
-    deaf: Cell<bool>,
+    delayed: Cell<bool>,
     /// Feeds that began while it was so, by table.
-    deaf_feeds: RefCell<BTreeMap<String, u32>>,
+    delayed_feeds: RefCell<BTreeMap<String, u32>>,
     /// Longest wait that a feed asked for, in milliseconds, by table.
     waits: RefCell<BTreeMap<String, u64>>,
 }
@@ -85,22 +85,22 @@
     }
 
     /// Drops the history, so that feeds have to begin anew.
-    pub fn forget(&self) {
+    pub fn drop_history(&self) {
         let version = *self.state.version.borrow();
-        *self.state.forgotten.borrow_mut() = version;
+        *self.state.dropped_until.borrow_mut() = version;
         self.state.history.borrow_mut().clear();
         self.state.changes.notify();
     }
 
-    /// Makes feeds that begin from now on deaf, or no longer: one that began deaf
+    /// Makes feeds that begin from now on delayed, or no longer: one that began delayed
     /// stays so, and is answered at the end of its wait with all that it missed.
-    pub fn set_deaf(&self, deaf: bool) {
-        self.state.deaf.set(deaf);
+    pub fn set_feeds_delayed(&self, delayed: bool) {
+        self.state.delayed.set(delayed);
     }
 
-    /// How many feeds of a table began deaf.
-    pub fn deaf_feeds(&self, table: &str) -> u32 {
-        self.state.deaf_feeds.borrow().get(table).copied().unwrap_or_default()
+    /// How many feeds of a table began delayed.
+    pub fn delayed_feeds(&self, table: &str) -> u32 {
+        self.state.delayed_feeds.borrow().get(table).copied().unwrap_or_default()
     }
 
     /// Longest wait that a feed of a table asked for, in milliseconds.
@@ -160,13 +160,13 @@
             let newer = |(ver, (own, _), _): &&Entry| *ver > after && *own == table;
             history.iter().filter(newer).cloned().collect::<Vec<Entry>>()
         };
-        let lost = || after < *self.forgotten.borrow();
-        let deaf = self.deaf.get();
-        if deaf {
-            *self.deaf_feeds.borrow_mut().entry(table.clone()).or_default() += 1;
+        let lost = || after < *self.dropped_until.borrow();
+        let delayed = self.delayed.get();
+        if delayed {
+            *self.delayed_feeds.borrow_mut().entry(table.clone()).or_default() += 1;
         }
         let changed =
-            until(self.changes.subscribe(), || !deaf && (!pending().is_empty() || lost()));
+            until(self.changes.subscribe(), || !delayed && (!pending().is_empty() || lost()));
         // At the end of the wait the answer is empty.
         let _ = tokio::time::timeout(wait, changed).await;
         if lost() {
--- a/kingcupbayd/tests/common/registered.rs
+++ b/kingcupbayd/tests/common/registered.rs
@@ -4,7 +4,7 @@
 use std::{net::SocketAddr, path::PathBuf};
 
 use kingcupbay_standin::{
-    Declared, DeclaredOrganisation, DeclaredRoute, Registry, UpstreamServer, UpstreamSettings,
+    DeclaredConfig, DeclaredOrganisation, DeclaredRoute, Registry, UpstreamServer, UpstreamSettings,
 };
 use serde_json::Value;
 
@@ -23,20 +23,20 @@
 
 /// The configuration `version`, in which the winery holds `keys`.
 pub(crate) fn config(version: u64, keys: &[&str]) -> Value {
-    let route = |name, kind, service, attempts| DeclaredRoute {
+    let route = |name, kind, service, max_attempts| DeclaredRoute {
         name,
         kind,
         resumable: kind == "stream",
         service,
-        attempts,
+        max_attempts,
     };
     let winery = DeclaredOrganisation {
         name: "winery".to_owned(),
         keys: keys.iter().map(|&key| key.to_owned()).collect(),
         rate: 100_000,
-        plain: 100,
+        plain_tokens: 100,
     };
-    let declared = Declared {
+    let declared = DeclaredConfig {
         number: version,
         routes: vec![
             route("seats", "idempotent", "desk", 2),
@@ -45,8 +45,8 @@
         ],
         organisations: vec![winery],
         timeout: 10_000,
-        aim: 800,
-        places: 2,
+        latency_target: 800,
+        adapter_slots: 2,
     };
     declared.row()
 }
--- a/kingcupbayd/tests/listen.rs
+++ b/kingcupbayd/tests/listen.rs
@@ -174,17 +174,17 @@
         fleet.entry.has_line("number=2 event=configuration").then_some(())
     })
     .await;
-    fleet.store.set_deaf(true);
-    let deaf = fleet.store.deaf_feeds("op");
+    fleet.store.set_feeds_delayed(true);
+    let deaf = fleet.store.delayed_feeds("op");
     tell_until(&mut fleet, &[Table::Operator], now, "table=op event=listens").await;
     until("the long feed", async || {
         tell(&fleet, [(Table::Operator, reading(now, 0, Vec::new()))].into()).await;
         let long = fleet.store.longest_wait("op") >= 10_000;
-        (long && fleet.store.deaf_feeds("op") > deaf).then_some(())
+        (long && fleet.store.delayed_feeds("op") > deaf).then_some(())
     })
     .await;
     let version = fleet.store.put("op", "config", &config(3, &["another-key"]));
-    fleet.store.set_deaf(false);
+    fleet.store.set_feeds_delayed(false);
     tell(&fleet, [(Table::Operator, reading(version, version, Vec::new()))].into()).await;
     until("the refusal", async || (status(&fleet, "a2").await == 401).then_some(())).await;
     assert!(!fleet.entry.has_line("event=feed_deaf"));
--- a/kingcupbayd/tests/registered.rs
+++ b/kingcupbayd/tests/registered.rs
@@ -88,7 +88,7 @@
     fleet.register("desk-1", "desk", &desk);
     fleet.ready().await;
     fleet.store.put("op", "config", &config(2, &["another-key"]));
-    fleet.store.forget();
+    fleet.store.drop_history();
     until("the new key", async || {
         let got = fleet.ask_with("GET", "/seats/today", "a1", "another-key", &[]).await;
         (got.status == 200).then_some(())
@@ -333,15 +333,15 @@
     let desk = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
     fleet.ready().await;
-    fleet.store.set_deaf(true);
-    fleet.store.forget();
+    fleet.store.set_feeds_delayed(true);
+    fleet.store.drop_history();
     until("deaf feeds", async || {
         let all =
-            ["op", "servers", "entries"].iter().all(|table| fleet.store.deaf_feeds(table) > 0);
+            ["op", "servers", "entries"].iter().all(|table| fleet.store.delayed_feeds(table) > 0);
         all.then_some(())
     })
     .await;
-    fleet.store.set_deaf(false);
+    fleet.store.set_feeds_delayed(false);
     fleet.store.put("servers", "desk-1", &desk.registration("desk", "draining"));
     until("no more bookings at the desk", async || {
         (fleet.ask("GET", "/seats/today", "a1").await.status == 503).then_some(())
