--- a/kingcupbay_soak/src/fleet.rs
+++ b/kingcupbay_soak/src/fleet.rs
@@ -177,7 +177,7 @@
     pub fn heal(&self) -> io::Result<()> {
         let servers = self.upstreams().map(|upstream| upstream.runner.server());
         for server in servers.chain([self.store.server()]) {
-            server.order(kingcupbay_standin::FaultOrder::ClearAll);
+            server.apply(kingcupbay_standin::FaultOrder::ClearAll);
         }
         for host in self.hosts() {
             host.store.set(Path::default());
--- a/kingcupbay_soak/src/trouble.rs
+++ b/kingcupbay_soak/src/trouble.rs
@@ -154,7 +154,7 @@
         Trouble::Peers(at, way) => disturb(&host(at).peers, way, lasts).await,
         Trouble::Upstream(at, way) => disturb(&upstream(at).proxy, way, lasts).await,
         Trouble::Answers(at, fault) => set(upstream(at).runner.server(), fault, lasts).await,
-        Trouble::Restart(at) => fleet.engines[at].runner.server().order(FaultOrder::Restart),
+        Trouble::Restart(at) => fleet.engines[at].runner.server().apply(FaultOrder::Restart),
         Trouble::Calls(fault) => set(fleet.store.server(), fault, lasts).await,
         Trouble::Forget => fleet.store.drop_history(),
         Trouble::Configure(step) => fleet.operator.configure(&fleet.store, step),
@@ -199,9 +199,9 @@
 }
 
 async fn set(server: &Server, fault: Fault, lasts: Duration) {
-    let id = server.set(Rule::new(fault));
+    let id = server.add_rule(Rule::new(fault));
     tokio::time::sleep(lasts).await;
-    server.order(FaultOrder::Clear(id));
+    server.apply(FaultOrder::Clear(id));
 }
 
 async fn leave(fleet: &Fleet, upstream: &Upstream, lasts: Duration) {
--- a/kingcupbay_standin/src/control.rs
+++ b/kingcupbay_standin/src/control.rs
@@ -52,7 +52,7 @@
     }
 
     /// Puts a rule in force.
-    pub async fn set(&self, rule: Rule) -> Result<RuleId, ControlError> {
+    pub async fn add_rule(&self, rule: Rule) -> Result<RuleId, ControlError> {
         self.post(&FaultOrder::Set(rule)).await
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// Waits until a rule has hit this often.
-    pub async fn hit(&self, id: RuleId, hits: u32) -> Result<(), ControlError> {
+    pub async fn wait_for_hits(&self, id: RuleId, hits: u32) -> Result<(), ControlError> {
         self.get(&format!("{HIT}?{}={hits}", id.0)).await
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Switches the recording of every byte received.
-    pub async fn record(&self, on: bool) -> Result<(), ControlError> {
+    pub async fn set_recording(&self, on: bool) -> Result<(), ControlError> {
         self.request(Method::PUT, RECEIVED).send_json(&Recording { on }).await?;
         Ok(())
     }
--- a/kingcupbay_standin/src/engine/load.rs
+++ b/kingcupbay_standin/src/engine/load.rs
@@ -12,7 +12,7 @@
 use crate::{
     fault::Fault,
     server::call::{self, Answer},
-    weights::{TAKE, Take},
+    weights::{TAKE, TakeRequest},
 };
 
 /// Answers a load order when the load is over. The load goes on when the
@@ -59,7 +59,7 @@
 async fn fetch(shared: &Shared, path: &str) -> bool {
     let (weights, time) = {
         let settings = &RefCell::borrow(&shared.state).settings;
-        (settings.weights, settings.load)
+        (settings.weight_store, settings.load_time)
     };
     match weights {
         Some(address) => take(&shared.client, address, path).await,
@@ -72,6 +72,6 @@
 
 async fn take(client: &awc::Client, address: SocketAddr, path: &str) -> bool {
     let url = format!("http://{address}{TAKE}");
-    let answer = client.post(url).send_json(&Take { path: path.to_owned() }).await;
+    let answer = client.post(url).send_json(&TakeRequest { path: path.to_owned() }).await;
     answer.is_ok_and(|answer| answer.status().is_success())
 }
--- a/kingcupbay_standin/src/engine/mod.rs
+++ b/kingcupbay_standin/src/engine/mod.rs
@@ -25,7 +25,7 @@
 };
 use crate::{
     changes::until,
-    fault::{Book, Fault},
+    fault::{Fault, FaultRules},
     server::{
         Behaviour, Server,
         call::{self, Answer, Call},
@@ -51,21 +51,21 @@
     /// Adapter slots.
     pub slots: u32,
     /// Streams generated at the same time; the rest wait by priority.
-    pub batch: u32,
+    pub batch_size: u32,
     /// Name of the base model, which needs no slot.
-    pub base: String,
+    pub base_model: String,
     /// Time from a stream's place in the batch to its first token.
-    pub first: Duration,
+    pub first_token: Duration,
     /// Time between tokens.
-    pub gap: Duration,
+    pub token_interval: Duration,
     /// Most tokens of any answer; a longer order ends with `stop`.
-    pub length: u32,
+    pub max_tokens: u32,
     /// Weight store to load from.
-    pub weights: Option<SocketAddr>,
+    pub weight_store: Option<SocketAddr>,
     /// Time of a load without a weight store.
-    pub load: Duration,
+    pub load_time: Duration,
     /// Whether orders with an old fencing number are refused.
-    pub fenced: bool,
+    pub check_fencing: bool,
     /// First incarnation; from the host's clock when absent.
     pub incarnation: Option<u64>,
 }
@@ -74,14 +74,14 @@
     fn default() -> Settings {
         Settings {
             slots: 8,
-            batch: 256,
-            base: "base".to_owned(),
-            first: Duration::from_millis(20),
-            gap: Duration::from_millis(15),
-            length: u32::MAX,
-            weights: None,
-            load: LOAD_TIME,
-            fenced: false,
+            batch_size: 256,
+            base_model: "base".to_owned(),
+            first_token: Duration::from_millis(20),
+            token_interval: Duration::from_millis(15),
+            max_tokens: u32::MAX,
+            weight_store: None,
+            load_time: LOAD_TIME,
+            check_fencing: false,
             incarnation: None,
         }
     }
@@ -90,7 +90,7 @@
 /// JSON body of a 409 that refuses an old fencing number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Fenced {
+pub struct FencingConflict {
     /// The newest number the engine has seen.
     pub fencing: u64,
 }
@@ -103,7 +103,7 @@
 
 pub(crate) struct Shared {
     state: Rc<RefCell<State>>,
-    faults: Rc<RefCell<Book>>,
+    faults: Rc<RefCell<FaultRules>>,
     client: awc::Client,
 }
 
@@ -137,14 +137,14 @@
     }
 
     /// Waits until its record satisfies a condition.
-    pub async fn until(&self, holds: impl Fn(&EngineRecord) -> bool) {
+    pub async fn wait_until(&self, holds: impl Fn(&EngineRecord) -> bool) {
         let state = &self.shared.state;
         let changes = state.borrow().changes();
         until(changes, || holds(state.borrow().record())).await;
     }
 
     /// Its load as it is now, without lag.
-    pub fn load(&self) -> LoadReport {
+    pub fn load_report(&self) -> LoadReport {
         self.shared.state.borrow().current()
     }
 
@@ -154,10 +154,10 @@
     }
 
     /// Changes the pace of tokens, also of running streams.
-    pub fn set_pace(&self, first: Duration, gap: Duration) {
+    pub fn set_token_times(&self, first: Duration, gap: Duration) {
         let mut state = self.shared.state.borrow_mut();
-        state.settings.first = first;
-        state.settings.gap = gap;
+        state.settings.first_token = first;
+        state.settings.token_interval = gap;
     }
 }
 
@@ -259,7 +259,7 @@
 fn refusal(refused: &Refused) -> Answer {
     match *refused {
         Refused::Fenced { newest } => {
-            call::status_json(StatusCode::CONFLICT, &Fenced { fencing: newest })
+            call::status_json(StatusCode::CONFLICT, &FencingConflict { fencing: newest })
         }
         Refused::SlotsFull => call::text(StatusCode::INSUFFICIENT_STORAGE, "no slot is free"),
         Refused::InUse => call::text(StatusCode::CONFLICT, "in use"),
--- a/kingcupbay_standin/src/engine/record.rs
+++ b/kingcupbay_standin/src/engine/record.rs
@@ -8,7 +8,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct EngineRecord {
     /// Every stream accepted, in order.
-    pub ran: Vec<Ran>,
+    pub ran: Vec<StreamRecord>,
     /// Most streams that generated at the same time.
     pub most_running: u32,
     /// Adapter versions loaded, in order.
@@ -28,7 +28,7 @@
 /// One stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Ran {
+pub struct StreamRecord {
     /// Adapter and version, or base model.
     pub model: String,
     /// The request.
--- a/kingcupbay_standin/src/engine/state.rs
+++ b/kingcupbay_standin/src/engine/state.rs
@@ -13,7 +13,7 @@
 
 use super::{
     Settings,
-    record::{EngineRecord, Outcome, Ran},
+    record::{EngineRecord, Outcome, StreamRecord},
     report::Reports,
 };
 use crate::changes::Changes;
@@ -135,14 +135,14 @@
         &mut self,
         order: &Generate,
     ) -> Result<(StreamKey, watch::Receiver<Phase>), Refused> {
-        let known = order.model == self.settings.base
+        let known = order.model == self.settings.base_model
             || matches!(self.slots.get(&order.model), Some(Slot::Loaded));
         if !known {
             return Err(Refused::UnknownModel);
         }
         self.end_request(order.request_id, Outcome::Superseded);
         let key = self.record.ran.len();
-        self.record.ran.push(Ran {
+        self.record.ran.push(StreamRecord {
             model: order.model.clone(),
             request: order.request_id,
             offset: order.offset,
@@ -267,7 +267,7 @@
             self.fence = fencing;
             return Ok(());
         }
-        if self.settings.fenced {
+        if self.settings.check_fencing {
             self.record.fenced += 1;
             return Err(Refused::Fenced { newest: self.fence });
         }
@@ -281,7 +281,7 @@
 
     /// Gives free places of the batch to those who wait.
     fn fill(&mut self) {
-        while self.running() < self.settings.batch {
+        while self.running() < self.settings.batch_size {
             let Some((_, key)) = self.queue.pop_first() else {
                 break;
             };
--- a/kingcupbay_standin/src/engine/stream.rs
+++ b/kingcupbay_standin/src/engine/stream.rs
@@ -136,20 +136,20 @@
     /// When the next event is due. Tokens keep their pace from the first one
     /// on, so a late wake-up delays one token and not all that follow.
     fn due(&mut self) -> Instant {
-        let first = self.state.borrow().settings.first;
+        let first = self.state.borrow().settings.first_token;
         *self.due.get_or_insert_with(|| Instant::now() + first)
     }
 
     /// Position after the last token.
     fn end(&self) -> u32 {
-        let length = self.state.borrow().settings.length;
+        let length = self.state.borrow().settings.max_tokens;
         self.order.max_tokens.min(length)
     }
 
     fn token(&mut self) -> Bytes {
         let offset = self.next;
         self.next += 1;
-        let gap = self.state.borrow().settings.gap;
+        let gap = self.state.borrow().settings.token_interval;
         self.due = self.due.map(|due| if self.next < self.end() { due + gap } else { due });
         self.state.borrow_mut().generated(self.key);
         let text = token_text(&self.order.model, self.order.request_id, offset);
--- a/kingcupbay_standin/src/fault.rs
+++ b/kingcupbay_standin/src/fault.rs
@@ -111,7 +111,7 @@
 /// A rule in force, or spent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Active {
+pub struct RuleStatus {
     /// The rule.
     pub rule: Rule,
     /// Requests, loads, streams, reports or events it applied to, also those
@@ -126,7 +126,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct Faults {
     /// The rules that are not cleared.
-    pub rules: BTreeMap<u64, Active>,
+    pub rules: BTreeMap<u64, RuleStatus>,
 }
 
 impl Rule {
@@ -154,7 +154,7 @@
     }
 }
 
-impl Active {
+impl RuleStatus {
     fn hit(&mut self) -> bool {
         self.seen = self.seen.saturating_add(1);
         let spent = self.rule.times.is_some_and(|times| self.hits >= times);
@@ -167,23 +167,23 @@
 impl Faults {
     /// Hits of one rule, 0 when it is cleared.
     pub fn hits(&self, id: RuleId) -> u32 {
-        self.rules.get(&id.0).map_or(0, |active| active.hits)
+        self.rules.get(&id.0).map_or(0, |status| status.hits)
     }
 }
 
 /// The rules of one server.
 #[derive(Default)]
-pub(crate) struct Book {
+pub(crate) struct FaultRules {
     next: u64,
     faults: Faults,
     changes: Changes,
 }
 
-impl Book {
+impl FaultRules {
     pub(crate) fn set(&mut self, rule: Rule) -> RuleId {
         let id = self.next;
         self.next += 1;
-        self.faults.rules.insert(id, Active { rule, seen: 0, hits: 0 });
+        self.faults.rules.insert(id, RuleStatus { rule, seen: 0, hits: 0 });
         RuleId(id)
     }
 
@@ -205,19 +205,19 @@
 
     /// Whether the port refuses connections.
     pub(crate) fn refuses(&self) -> bool {
-        self.faults.rules.values().any(|active| active.rule.fault == Fault::Refuse)
+        self.faults.rules.values().any(|status| status.rule.fault == Fault::Refuse)
     }
 
     /// Counts something that happens on `path` against the rules whose fault
     /// `pick` knows; what `pick` made of those that hit it.
     pub(crate) fn hit<T>(&mut self, path: &str, pick: impl Fn(Fault) -> Option<T>) -> Vec<T> {
         let mut hits = Vec::new();
-        for active in self.faults.rules.values_mut() {
-            let on_path = active.rule.path.as_deref().is_none_or(|prefix| path.starts_with(prefix));
-            let Some(picked) = pick(active.rule.fault).filter(|_| on_path) else {
+        for status in self.faults.rules.values_mut() {
+            let on_path = status.rule.path.as_deref().is_none_or(|prefix| path.starts_with(prefix));
+            let Some(picked) = pick(status.rule.fault).filter(|_| on_path) else {
                 continue;
             };
-            if active.hit() {
+            if status.hit() {
                 hits.push(picked);
             }
         }
--- a/kingcupbay_standin/src/lib.rs
+++ b/kingcupbay_standin/src/lib.rs
@@ -15,7 +15,7 @@
 //! | `PUT /received` with `{"on":true}` | switches the recording of bytes |
 //! | `GET /received` | all bytes recorded |
 //! | `GET /state` | its record; the host list and services have none |
-//! | `GET /executions` | [`Executions`]: the record of a plain service |
+//! | `GET /executions` | [`ExecutionCounts`]: the record of a plain service |
 
 mod changes;
 mod control;
@@ -36,11 +36,11 @@
 pub use self::{
     control::{Control, ControlError},
     engine::{
-        Engine, Fenced, Settings as EngineSettings,
-        record::{EngineRecord, Outcome, Ran},
+        Engine, FencingConflict, Settings as EngineSettings,
+        record::{EngineRecord, Outcome, StreamRecord},
         text::{answer_text, prompt_tokens, token_text},
     },
-    fault::{Active, Fault, FaultOrder, Faults, Rule, RuleId},
+    fault::{Fault, FaultOrder, Faults, Rule, RuleId, RuleStatus},
     hosts::{HostList, Lag},
     objects::{Objects, ObjectsRecord},
     operator::{
@@ -50,8 +50,8 @@
     platform::{Platform, PlatformRecord},
     registry::Registry,
     server::Server,
-    service::{CALL_PATH, Executed, Executions, IDEMPOTENCY_HEADER, PlainService},
+    service::{CALL_PATH, Execution, ExecutionCounts, IDEMPOTENCY_HEADER, PlainService},
     table::{Table, TableRecord},
     upstream::{BASE_MODEL, UpstreamOrder, UpstreamRun, UpstreamServer, UpstreamSettings},
-    weights::{FULL_SPEED, LOAD_TIME, Sharing, Take, Weights, WeightsRecord},
+    weights::{FULL_SPEED_LOADS, LOAD_TIME, SharedBandwidth, TakeRequest, Weights, WeightsRecord},
 };
--- a/kingcupbay_standin/src/main.rs
+++ b/kingcupbay_standin/src/main.rs
@@ -152,14 +152,14 @@
     fn settings(self) -> EngineSettings {
         EngineSettings {
             slots: self.slots,
-            batch: self.batch,
-            base: self.base,
-            first: Duration::from_millis(self.first),
-            gap: Duration::from_millis(self.gap),
-            length: self.length,
-            weights: self.weights,
-            load: self.loading.time(),
-            fenced: self.fenced,
+            batch_size: self.batch,
+            base_model: self.base,
+            first_token: Duration::from_millis(self.first),
+            token_interval: Duration::from_millis(self.gap),
+            max_tokens: self.length,
+            weight_store: self.weights,
+            load_time: self.loading.time(),
+            check_fencing: self.fenced,
             incarnation: self.incarnation,
         }
     }
@@ -179,7 +179,7 @@
     // The line comes last: who reads it may use both addresses.
     match cli.addresses.control {
         Some(control) => {
-            let control = server.control(control)?;
+            let control = server.open_control(control)?;
             println!("event=listening role={role} address={address} control={control}");
         }
         None => println!("event=listening role={role} address={address}"),
--- a/kingcupbay_standin/src/server/mod.rs
+++ b/kingcupbay_standin/src/server/mod.rs
@@ -29,7 +29,7 @@
 };
 use crate::{
     changes::until,
-    fault::{Book, Fault, FaultOrder, Faults, Rule, RuleId},
+    fault::{Fault, FaultOrder, FaultRules, Faults, Rule, RuleId},
 };
 
 pub(crate) mod admin;
@@ -45,7 +45,7 @@
 
 /// What makes a server one stand-in or another.
 pub(crate) struct Behaviour {
-    pub(crate) faults: Rc<RefCell<Book>>,
+    pub(crate) faults: Rc<RefCell<FaultRules>>,
     pub(crate) answer: Handler,
     pub(crate) restart: Rc<dyn Fn()>,
 }
@@ -91,7 +91,7 @@
 
     /// Serves `address` as well, out of reach of every fault, so that a
     /// fault on the first address can always be cleared. The bound address.
-    pub fn control(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
+    pub fn open_control(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
         let listener = TcpListener::from_std(bind_alone(address)?)?;
         let address = listener.local_addr()?;
         let shared = Rc::clone(&self.shared);
@@ -110,7 +110,7 @@
     }
 
     /// Switches the recording of every byte received.
-    pub fn record(&self, on: bool) {
+    pub fn set_recording(&self, on: bool) {
         self.shared.registry.record(on);
     }
 
@@ -120,17 +120,17 @@
     }
 
     /// Puts a rule in force.
-    pub fn set(&self, rule: Rule) -> RuleId {
+    pub fn add_rule(&self, rule: Rule) -> RuleId {
         self.shared.set(rule, None)
     }
 
     /// Carries out any order on faults.
-    pub fn order(&self, order: FaultOrder) {
+    pub fn apply(&self, order: FaultOrder) {
         self.shared.order(order, None);
     }
 
     /// Waits until a rule has hit this often.
-    pub async fn hit(&self, id: RuleId, hits: u32) {
+    pub async fn wait_for_hits(&self, id: RuleId, hits: u32) {
         self.shared.hit(id, hits).await;
     }
 
--- a/kingcupbay_standin/src/service.rs
+++ b/kingcupbay_standin/src/service.rs
@@ -23,10 +23,10 @@
 /// Header that carries the caller's idempotency key.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
-/// Executions counted since the start.
+/// ExecutionCounts counted since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Executions {
+pub struct ExecutionCounts {
     /// All of them.
     pub total: u64,
     /// By idempotency key; calls without one are only in `total`.
@@ -36,7 +36,7 @@
 /// The JSON answer to a call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Executed {
+pub struct Execution {
     /// Path below [`CALL_PATH`].
     pub path: String,
     /// Number of this execution, from 1.
@@ -55,7 +55,7 @@
 
 #[derive(Default)]
 struct State {
-    executions: RefCell<Executions>,
+    executions: RefCell<ExecutionCounts>,
     changes: Changes,
 }
 
@@ -78,12 +78,12 @@
     }
 
     /// What it executed.
-    pub fn executions(&self) -> Executions {
+    pub fn executions(&self) -> ExecutionCounts {
         self.state.executions.borrow().clone()
     }
 
     /// Waits until it has executed this many calls.
-    pub async fn executed(&self, total: u64) {
+    pub async fn wait_for_executions(&self, total: u64) {
         let state = &self.state;
         until(state.changes.subscribe(), || state.executions.borrow().total >= total).await;
     }
@@ -103,7 +103,7 @@
     })
 }
 
-fn execute(state: &State, path: &str, call: &Call) -> Executed {
+fn execute(state: &State, path: &str, call: &Call) -> Execution {
     let mut counts = state.executions.borrow_mut();
     let key = call.headers.get(IDEMPOTENCY_HEADER);
     let key = key.map(|key| String::from_utf8_lossy(key.as_bytes()).into_owned());
@@ -112,7 +112,7 @@
         *counts.keys.entry(key.clone()).or_default() += 1;
     }
     state.changes.notify();
-    Executed {
+    Execution {
         path: path.to_owned(),
         execution: counts.total,
         key,
--- a/kingcupbay_standin/src/weights.rs
+++ b/kingcupbay_standin/src/weights.rs
@@ -1,7 +1,7 @@
 //! The platform's weight store: `POST /weights/take` answers when the load
 //! would be done; `GET /state` for a [`WeightsRecord`].
 //!
-//! A load takes its full time while at most [`FULL_SPEED`] are in flight over all
+//! A load takes its full time while at most [`FULL_SPEED_LOADS`] are in flight over all
 //! engines, and proportionally longer beyond that.
 
 use std::{cell::RefCell, collections::BTreeMap, io, net::SocketAddr, rc::Rc, time::Duration};
@@ -23,7 +23,7 @@
 pub(crate) const TAKE: &str = "/weights/take";
 
 /// Loads in flight that still have full speed each.
-pub const FULL_SPEED: u32 = 8;
+pub const FULL_SPEED_LOADS: u32 = 8;
 
 /// Time of a load at full speed, unless set otherwise.
 pub const LOAD_TIME: Duration = Duration::from_millis(250);
@@ -31,7 +31,7 @@
 /// Body of `POST /weights/take`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Take {
+pub struct TakeRequest {
     /// What to load.
     pub path: String,
 }
@@ -57,7 +57,7 @@
 /// Loads in flight and counts.
 pub(crate) struct State {
     origin: Instant,
-    sharing: RefCell<Sharing>,
+    sharing: RefCell<SharedBandwidth>,
     record: RefCell<WeightsRecord>,
     /// Changes whenever the speed may have changed.
     changed: watch::Sender<()>,
@@ -68,7 +68,7 @@
 /// Work is counted in nanoseconds at full speed, so that rounding at each
 /// change stays far below a timer's grain.
 #[derive(Clone, Copy, Debug)]
-pub struct Sharing {
+pub struct SharedBandwidth {
     /// Work that a load in flight since the beginning would have done.
     done: u64,
     /// When `done` was brought up to date.
@@ -76,10 +76,10 @@
     in_flight: u32,
 }
 
-impl Sharing {
+impl SharedBandwidth {
     /// No load in flight at time `now`.
-    pub fn new(now: Duration) -> Sharing {
-        Sharing { done: 0, at: now, in_flight: 0 }
+    pub fn new(now: Duration) -> SharedBandwidth {
+        SharedBandwidth { done: 0, at: now, in_flight: 0 }
     }
 
     /// Begins a load of `work`; the mark at which it is done.
@@ -100,8 +100,8 @@
         let mut then = *self;
         then.advance(now);
         let work = mark.saturating_sub(then.done);
-        let stretched = work * u64::from(self.in_flight.max(FULL_SPEED));
-        Duration::from_nanos(stretched.div_ceil(u64::from(FULL_SPEED)))
+        let stretched = work * u64::from(self.in_flight.max(FULL_SPEED_LOADS));
+        Duration::from_nanos(stretched.div_ceil(u64::from(FULL_SPEED_LOADS)))
     }
 
     /// Loads in flight.
@@ -111,7 +111,8 @@
 
     fn advance(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.at).as_nanos() as u64;
-        self.done += passed * u64::from(FULL_SPEED) / u64::from(self.in_flight.max(FULL_SPEED));
+        self.done +=
+            passed * u64::from(FULL_SPEED_LOADS) / u64::from(self.in_flight.max(FULL_SPEED_LOADS));
         self.at = now;
     }
 }
@@ -145,7 +146,7 @@
     fn default() -> State {
         State {
             origin: Instant::now(),
-            sharing: RefCell::new(Sharing::new(Duration::ZERO)),
+            sharing: RefCell::new(SharedBandwidth::new(Duration::ZERO)),
             record: RefCell::default(),
             changed: watch::Sender::new(()),
         }
@@ -228,7 +229,7 @@
     if (&call.method, call.path.as_str()) != (&Method::POST, TAKE) {
         return None;
     }
-    let take: Take = match call.json() {
+    let take: TakeRequest = match call.json() {
         Ok(take) => take,
         Err(refusal) => return Some(refusal),
     };
--- a/kingcupbay_standin/tests/common/mod.rs
+++ b/kingcupbay_standin/tests/common/mod.rs
@@ -54,9 +54,9 @@
 /// An engine without any waiting, and changes to its settings.
 pub(crate) fn engine(change: impl FnOnce(&mut EngineSettings)) -> Engine {
     let mut settings = EngineSettings {
-        first: Duration::ZERO,
-        gap: Duration::ZERO,
-        load: Duration::ZERO,
+        first_token: Duration::ZERO,
+        token_interval: Duration::ZERO,
+        load_time: Duration::ZERO,
         incarnation: Some(7),
         ..EngineSettings::default()
     };
--- a/kingcupbay_standin/tests/engine.rs
+++ b/kingcupbay_standin/tests/engine.rs
@@ -9,7 +9,7 @@
 use futures_util::future::join;
 use kingcupbay_core::wire::engine::{Cancel, EventKind, Events, LoadReport, Message};
 use kingcupbay_standin::{
-    Engine, EngineRecord, Fault, FaultOrder, Fenced, Outcome, Rule, Weights, answer_text,
+    Engine, EngineRecord, Fault, FaultOrder, FencingConflict, Outcome, Rule, Weights, answer_text,
     token_text,
 };
 
@@ -28,7 +28,7 @@
 
 #[actix_rt::test]
 async fn answer_is_whole_and_names_model_request_and_offset() {
-    let engine = engine(|settings| settings.length = 5);
+    let engine = engine(|settings| settings.max_tokens = 5);
     assert_eq!(load(&engine, "rose@v1", 1).await, 200);
     assert_eq!(token_text("rose@v1", request(0xab), 3), "rose@v1:3:ab000000 ");
     let mut chat = order("rose@v1", 0xab, 4);
@@ -103,12 +103,12 @@
 async fn adapter_in_use_is_not_unloaded() {
     // A running request uses its adapter, and so does one that waits.
     for (held, waits) in [("rose@v1", "base"), ("base", "rose@v1")] {
-        let engine = engine(|settings| settings.batch = 1);
+        let engine = engine(|settings| settings.batch_size = 1);
         load(&engine, "rose@v1", 1).await;
-        engine.server().set(Rule::new(Fault::StallStreams { tokens: 1 }).times(1));
+        engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 1 }).times(1));
         let running = generate(&engine, &order(held, 1, 9)).await;
         let waiting = generate(&engine, &order(waits, 2, 2)).await;
-        engine.until(|record| record.ran.len() == 2 && record.ran[0].tokens == 1).await;
+        engine.wait_until(|record| record.ran.len() == 2 && record.ran[0].tokens == 1).await;
         assert_eq!(unload(&engine, "rose@v1", 1).await, 409);
         cancel(&engine, 1).await;
         let (cancelled, whole) = join(read(running), read(waiting)).await;
@@ -124,30 +124,30 @@
 /// end of a connection has to end what it had asked for.
 #[actix_rt::test]
 async fn stream_ends_with_its_connection() {
-    let engine = engine(|settings| settings.batch = 1);
-    engine.server().set(Rule::new(Fault::StallStreams { tokens: 0 }).times(1));
+    let engine = engine(|settings| settings.batch_size = 1);
+    engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 0 }).times(1));
     let gone = generate(&engine, &order("base", 1, 3)).await;
-    engine.until(|record| record.count(Outcome::Running) == 1).await;
+    engine.wait_until(|record| record.count(Outcome::Running) == 1).await;
     drop(gone);
-    engine.until(|record| record.count(Outcome::Dropped) == 1).await;
+    engine.wait_until(|record| record.count(Outcome::Dropped) == 1).await;
     assert!(read(generate(&engine, &order("base", 2, 3)).await).await.done);
-    assert_eq!(engine.load().running, 0);
+    assert_eq!(engine.load_report().running, 0);
 }
 
 #[actix_rt::test]
 async fn batch_takes_the_highest_priority_first() {
-    let engine = engine(|settings| settings.batch = 1);
-    engine.server().set(Rule::new(Fault::StallStreams { tokens: 0 }).times(1));
+    let engine = engine(|settings| settings.batch_size = 1);
+    engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 0 }).times(1));
     let _held = generate(&engine, &order("base", 0, 1)).await;
-    engine.until(|record| record.count(Outcome::Running) == 1).await;
-    engine.server().set(Rule::new(Fault::StallStreams { tokens: 0 }));
+    engine.wait_until(|record| record.count(Outcome::Running) == 1).await;
+    engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 0 }));
     let mut waiting = Vec::new();
     for (n, priority) in [(1, 0), (2, 5), (3, -1), (4, 5)] {
         let mut order = order("base", n, 1);
         order.priority = priority;
         waiting.push(generate(&engine, &order).await);
     }
-    assert_eq!((engine.load().running, engine.load().waiting), (1, 4));
+    assert_eq!((engine.load_report().running, engine.load_report().waiting), (1, 4));
     let mut served = Vec::new();
     for _ in 0..5 {
         let record = engine.record();
@@ -164,9 +164,9 @@
 #[actix_rt::test]
 async fn resumed_stream_replaces_the_earlier_one() {
     let engine = engine(|_| {});
-    engine.server().set(Rule::new(Fault::StallStreams { tokens: 2 }).times(1));
+    engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 2 }).times(1));
     let stalled = generate(&engine, &order("base", 1, 4)).await;
-    engine.until(|record| record.ran.first().is_some_and(|ran| ran.tokens == 2)).await;
+    engine.wait_until(|record| record.ran.first().is_some_and(|ran| ran.tokens == 2)).await;
     let mut rest = order("base", 1, 4);
     rest.offset = 2;
     let resumed = read(generate(&engine, &rest).await).await;
@@ -182,10 +182,10 @@
 #[actix_rt::test]
 async fn old_fencing_number_is_refused_or_recorded() {
     for fenced in [true, false] {
-        let engine = engine(|settings| settings.fenced = fenced);
+        let engine = engine(|settings| settings.check_fencing = fenced);
         load(&engine, "rose@v1", 5).await;
         assert_eq!(unload(&engine, "rose@v1", 4).await, if fenced { 409 } else { 200 });
-        engine.server().order(FaultOrder::Restart);
+        engine.server().apply(FaultOrder::Restart);
         let body = serde_json::json!({"lora_name": "iris@v1", "lora_path": "w", "fencing": 4});
         let path = "/v1/load_lora_adapter";
         let mut answer = post(engine.server().address(), path, &body).await.unwrap();
@@ -193,7 +193,10 @@
         assert_eq!((record.fenced, record.stale), if fenced { (2, 0) } else { (0, 2) });
         if fenced {
             assert_eq!(answer.status(), 409);
-            assert_eq!(answer.json::<Fenced>().await.unwrap(), Fenced { fencing: 5 });
+            assert_eq!(
+                answer.json::<FencingConflict>().await.unwrap(),
+                FencingConflict { fencing: 5 }
+            );
         }
     }
 }
@@ -203,11 +206,11 @@
 #[actix_rt::test]
 async fn restart_empties_the_engine() {
     let weights = Weights::start(any(), Duration::from_secs(3600)).unwrap();
-    let engine = engine(|settings| settings.weights = Some(weights.server().address()));
-    engine.server().set(Rule::new(Fault::StallStreams { tokens: 1 }));
+    let engine = engine(|settings| settings.weight_store = Some(weights.server().address()));
+    engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 1 }));
     let running = generate(&engine, &order("base", 1, 3)).await;
-    engine.until(|record| record.ran.first().is_some_and(|ran| ran.tokens == 1)).await;
-    let loading = engine.server().set(Rule::new(Fault::FailLoads).times(1));
+    engine.wait_until(|record| record.ran.first().is_some_and(|ran| ran.tokens == 1)).await;
+    let loading = engine.server().add_rule(Rule::new(Fault::FailLoads).times(1));
     let orders = async {
         let path = "/v1/load_lora_adapter";
         let body = serde_json::json!({"lora_name": "a@1", "lora_path": "w", "fencing": 1});
@@ -222,11 +225,11 @@
         while engine.server().connections() < 3 {
             actix_rt::task::yield_now().await;
         }
-        engine.server().hit(loading, 1).await;
+        engine.server().wait_for_hits(loading, 1).await;
         while weights.record().in_flight == 0 {
             actix_rt::task::yield_now().await;
         }
-        engine.server().order(FaultOrder::Restart);
+        engine.server().apply(FaultOrder::Restart);
     };
     join(orders, restart).await;
     while weights.record().in_flight > 0 {
@@ -234,7 +237,7 @@
     }
     assert!(!read(running).await.done);
     let report = LoadReport { incarnation: 8, slots: 8, ..LoadReport::default() };
-    assert_eq!(engine.load(), report);
+    assert_eq!(engine.load_report(), report);
     assert_eq!(engine.record().count(Outcome::Cut), 1);
     assert!(events(&engine, 0).await.is_empty());
 }
@@ -249,17 +252,17 @@
         get(server.address(), "/load").await.unwrap().json().await.unwrap()
     };
     let lags = [
-        server.set(Rule::new(Fault::LagReports { millis: 600_000 })),
-        server.set(Rule::new(Fault::LagEvents { millis: 600_000 })),
+        server.add_rule(Rule::new(Fault::LagReports { millis: 600_000 })),
+        server.add_rule(Rule::new(Fault::LagEvents { millis: 600_000 })),
     ];
-    server.set(Rule::new(Fault::LoseEvents).skip(1).times(1));
+    server.add_rule(Rule::new(Fault::LoseEvents).skip(1).times(1));
     for name in ["a@1", "b@1", "c@1"] {
         load(&engine, name, 1).await;
     }
     unload(&engine, "b@1", 1).await;
     assert!(report().await.loaded.is_empty());
     assert!(events(&engine, 0).await.is_empty());
-    lags.into_iter().for_each(|id| server.order(FaultOrder::Clear(id)));
+    lags.into_iter().for_each(|id| server.apply(FaultOrder::Clear(id)));
     assert_eq!(report().await.loaded, ["a@1", "c@1"]);
     let shown = [
         (1, EventKind::Loaded, "a@1".to_owned()),
@@ -273,10 +276,10 @@
 #[actix_rt::test]
 async fn loads_go_through_the_weight_store_once() {
     let weights = Weights::start(any(), Duration::ZERO).unwrap();
-    let engine = engine(|settings| settings.weights = Some(weights.server().address()));
+    let engine = engine(|settings| settings.weight_store = Some(weights.server().address()));
     let (first, second) = join(load(&engine, "a@1", 1), load(&engine, "a@1", 1)).await;
     assert_eq!((first, second), (200, 200));
-    weights.server().set(Rule::new(Fault::Outage).times(1));
+    weights.server().add_rule(Rule::new(Fault::Outage).times(1));
     assert_eq!(load(&engine, "b@1", 1).await, 503, "the store is down");
     assert_eq!(load(&engine, "b@1", 1).await, 200);
     let record = weights.record();
@@ -296,9 +299,9 @@
         request.send_body(format!("{key}-body")).await.unwrap();
     };
     call("before").await;
-    server.record(true);
+    server.set_recording(true);
     call("secret").await;
-    server.record(false);
+    server.set_recording(false);
     call("after").await;
     let received = String::from_utf8(server.received().concat()).unwrap();
     for (text, found) in
--- a/kingcupbay_standin/tests/fault.rs
+++ b/kingcupbay_standin/tests/fault.rs
@@ -32,7 +32,7 @@
     let server = platform.server();
     let control = Control::new(server.address());
     let rule = Rule::new(Fault::Outage).path("/objects").skip(1).times(2);
-    let id = control.set(rule.clone()).await.unwrap();
+    let id = control.add_rule(rule.clone()).await.unwrap();
     let mut statuses = Vec::new();
     for path in ["/hosts", "/objects/a", "/objects/a", "/hosts", "/objects/a", "/objects/a"] {
         statuses.push(get(server.address(), path).await.unwrap().status().as_u16());
@@ -43,7 +43,7 @@
         (faults.hits(id), faults.rules[&id.0].seen, &faults.rules[&id.0].rule),
         (2, 4, &rule)
     );
-    control.hit(id, 2).await.unwrap();
+    control.wait_for_hits(id, 2).await.unwrap();
     control.clear(id).await.unwrap();
     assert!(server.faults().rules.is_empty());
     assert_eq!(platform.record().objects.gets, 2, "an outage has no effect");
@@ -63,7 +63,7 @@
     for (fault, status, runs) in cases {
         let service = PlainService::start(any()).unwrap();
         let address = service.server().address();
-        service.server().set(Rule::new(fault).times(1));
+        service.server().add_rule(Rule::new(fault).times(1));
         let answer = call(address).await.ok();
         assert_eq!(answer.map(|answer| answer.status().as_u16()), status, "{fault:?}");
         assert_eq!(service.executions().total, runs, "{fault:?}");
@@ -75,12 +75,13 @@
 async fn silent_request_is_never_answered_or_run() {
     let service = PlainService::start(any()).unwrap();
     let server = service.server();
-    let id = server.set(Rule::new(Fault::Silent).times(1));
+    let id = server.add_rule(Rule::new(Fault::Silent).times(1));
     let silent = Box::pin(call(server.address()));
-    let Either::Right((_, silent)) = select(silent, Box::pin(server.hit(id, 1))).await else {
+    let Either::Right((_, silent)) = select(silent, Box::pin(server.wait_for_hits(id, 1))).await
+    else {
         panic!("answered");
     };
-    server.order(FaultOrder::ClearAll);
+    server.apply(FaultOrder::ClearAll);
     let new = Box::pin(call(server.address()));
     let Either::Right((answer, _silent)) = select(silent, new).await else {
         panic!("answered");
@@ -95,19 +96,20 @@
 async fn slow_request_takes_effect_without_its_caller() {
     let service = PlainService::start(any()).unwrap();
     let server = service.server();
-    let id = server.set(Rule::new(Fault::Slow { millis: 20 }).times(1));
+    let id = server.add_rule(Rule::new(Fault::Slow { millis: 20 }).times(1));
     let slow = Box::pin(call(server.address()));
-    drop(select(slow, Box::pin(server.hit(id, 1))).await);
-    service.executed(1).await;
+    drop(select(slow, Box::pin(server.wait_for_hits(id, 1))).await);
+    service.wait_for_executions(1).await;
 }
 
 #[actix_rt::test]
 async fn late_answer_follows_its_effect() {
     let service = PlainService::start(any()).unwrap();
     let server = service.server();
-    server.set(Rule::new(Fault::LateAnswer { millis: 20 }).times(1));
+    server.add_rule(Rule::new(Fault::LateAnswer { millis: 20 }).times(1));
     let late = Box::pin(call(server.address()));
-    let Either::Right(((), late)) = select(late, Box::pin(service.executed(1))).await else {
+    let Either::Right(((), late)) = select(late, Box::pin(service.wait_for_executions(1))).await
+    else {
         panic!("answered before the delay");
     };
     assert_eq!(late.await.unwrap().status(), 200);
@@ -124,7 +126,7 @@
     let head = format!("POST {CALL} HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\n\r\n1");
     let mut open = TcpStream::connect(address).unwrap();
     open.write_all(head.as_bytes()).unwrap();
-    service.executed(1).await;
+    service.wait_for_executions(1).await;
     let control = Control::new(address);
     control.freeze().await.unwrap();
     open.write_all(head.as_bytes()).unwrap();
@@ -144,14 +146,14 @@
 #[actix_rt::test]
 async fn frozen_connection_outlives_its_stream() {
     let engine = engine(|_| {});
-    engine.server().set(Rule::new(Fault::StallStreams { tokens: 2 }).times(1));
+    engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 2 }).times(1));
     let mut frozen = generate(&engine, &order("base", 1, 3)).await;
-    engine.until(|record| record.ran.first().is_some_and(|ran| ran.tokens == 2)).await;
-    engine.server().order(FaultOrder::Freeze);
+    engine.wait_until(|record| record.ran.first().is_some_and(|ran| ran.tokens == 2)).await;
+    engine.server().apply(FaultOrder::Freeze);
     let mut rest = order("base", 1, 3);
     rest.offset = 2;
     assert!(read(generate(&engine, &rest).await).await.done);
-    engine.server().order(FaultOrder::Restart);
+    engine.server().apply(FaultOrder::Restart);
     while engine.server().connections() > 0 {
         actix_rt::task::yield_now().await;
     }
@@ -169,13 +171,13 @@
 #[actix_rt::test]
 async fn refused_port_comes_back() {
     let mut table = Table::start(any()).unwrap();
-    let control = Control::new(table.server_mut().control(any()).unwrap());
+    let control = Control::new(table.server_mut().open_control(any()).unwrap());
     let address = table.server().address();
     let read = serde_json::json!({"keys": []});
     let pooled = client();
     let ask = || pooled.post(format!("http://{address}/read")).send_json(&read);
     assert_eq!(ask().await.unwrap().status(), 200);
-    let id = control.set(Rule::new(Fault::Refuse)).await.unwrap();
+    let id = control.add_rule(Rule::new(Fault::Refuse)).await.unwrap();
     control.freeze().await.unwrap();
     while table.server().connections() > 1 {
         actix_rt::task::yield_now().await;
@@ -219,20 +221,20 @@
 async fn streams_are_cut_or_stalled_after_some_tokens() {
     let engine = engine(|_| {});
     let server = engine.server();
-    server.set(Rule::new(Fault::CutStreams { tokens: 3 }).times(1));
-    server.set(Rule::new(Fault::StallStreams { tokens: 2 }).skip(1).times(1));
+    server.add_rule(Rule::new(Fault::CutStreams { tokens: 3 }).times(1));
+    server.add_rule(Rule::new(Fault::StallStreams { tokens: 2 }).skip(1).times(1));
     let mut resumed = order("base", 1, 9);
     resumed.offset = 4;
     let cut = read(generate(&engine, &resumed).await).await;
     assert_eq!((cut.text(), cut.done), (answer_text("base", request(1), 4..7), false));
     let stalled = generate(&engine, &order("base", 2, 9)).await;
-    engine.until(|record| record.ran.len() == 2 && record.ran[1].tokens == 2).await;
-    server.order(FaultOrder::ClearAll);
+    engine.wait_until(|record| record.ran.len() == 2 && record.ran[1].tokens == 2).await;
+    server.apply(FaultOrder::ClearAll);
     let whole = read(generate(&engine, &order("base", 3, 9)).await).await;
     assert_eq!((whole.text(), whole.done), (answer_text("base", request(3), 0..9), true));
     assert_eq!(engine.record().ran[1].outcome, Outcome::Running, "stalled for good");
     drop(stalled);
-    engine.until(|record| record.ran[1].outcome == Outcome::Dropped).await;
+    engine.wait_until(|record| record.ran[1].outcome == Outcome::Dropped).await;
     assert_eq!(engine.record().ran[0].outcome, Outcome::Cut);
 }
 
@@ -242,8 +244,8 @@
 async fn cut_stream_lacks_its_last_chunk() {
     let engine = engine(|_| {});
     let address = engine.server().address();
-    engine.server().set(Rule::new(Fault::CutStreams { tokens: 1 }).times(1));
-    engine.server().set(Rule::new(Fault::StallStreams { tokens: 1 }).skip(1).times(1));
+    engine.server().add_rule(Rule::new(Fault::CutStreams { tokens: 1 }).times(1));
+    engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 1 }).skip(1).times(1));
     let raw = |n| {
         let body = serde_json::to_string(&order("base", n, 3)).unwrap();
         let length = body.len();
@@ -261,7 +263,7 @@
     };
     let cut = raw(1).await.unwrap();
     let cancel = async {
-        engine.until(|record| record.ran.len() == 2 && record.ran[1].tokens == 1).await;
+        engine.wait_until(|record| record.ran.len() == 2 && record.ran[1].tokens == 1).await;
         post(address, "/v1/cancel", &serde_json::json!({"request_id": request(2)})).await.unwrap();
     };
     let (cancelled, ()) = join(raw(2), cancel).await;
@@ -277,11 +279,11 @@
 #[actix_rt::test]
 async fn next_loads_fail() {
     let engine = engine(|_| {});
-    engine.server().set(Rule::new(Fault::FailLoads).times(2));
+    engine.server().add_rule(Rule::new(Fault::FailLoads).times(2));
     let mut statuses = Vec::new();
     for _ in 0..3 {
         statuses.push(load(&engine, "a@1", 1).await);
     }
     assert_eq!(statuses, [503, 503, 200]);
-    assert_eq!((engine.record().failed_loads, engine.load().loaded.len()), (2, 1));
+    assert_eq!((engine.record().failed_loads, engine.load_report().loaded.len()), (2, 1));
 }
--- a/kingcupbay_standin/tests/platform.rs
+++ b/kingcupbay_standin/tests/platform.rs
@@ -11,8 +11,8 @@
     table::{Condition, Read, Row, Rows, Txn, TxnAnswer, Write},
 };
 use kingcupbay_standin::{
-    Control, Executed, Executions, HostList, Lag, PlainService, Platform, PlatformRecord, Sharing,
-    Table,
+    Control, Execution, ExecutionCounts, HostList, Lag, PlainService, Platform, PlatformRecord,
+    SharedBandwidth, Table,
 };
 
 const MS: Duration = Duration::from_millis(1);
@@ -91,7 +91,7 @@
     assert_eq!(object.body().await.unwrap(), "bytes");
     post(address, "/txn", &txn(&[], &[("a", Some("1"))])).await.unwrap();
     assert_eq!(get(address, "/hosts").await.unwrap().status(), 200);
-    let take = kingcupbay_standin::Take { path: "w".into() };
+    let take = kingcupbay_standin::TakeRequest { path: "w".into() };
     assert_eq!(post(address, "/weights/take", &take).await.unwrap().status(), 200);
     assert_eq!(post(address, "/txn", &"not a txn").await.unwrap().status(), 400);
     assert_eq!(get(address, "/elsewhere").await.unwrap().status(), 404);
@@ -137,14 +137,14 @@
         if let Some(key) = key {
             request = request.insert_header(("idempotency-key", key));
         }
-        request.send_body("{}").await.unwrap().json::<Executed>().await.unwrap()
+        request.send_body("{}").await.unwrap().json::<Execution>().await.unwrap()
     };
     call(Some("k1")).await;
     call(None).await;
     let third = call(Some("k1")).await;
     assert_eq!((third.path.as_str(), third.execution, third.body.as_str()), ("book/7", 3, "{}"));
     assert_eq!(third.key.as_deref(), Some("k1"));
-    let counts: Executions = get(address, "/executions").await.unwrap().json().await.unwrap();
+    let counts: ExecutionCounts = get(address, "/executions").await.unwrap().json().await.unwrap();
     assert_eq!(counts, service.executions());
     assert_eq!((counts.total, counts.keys["k1"], counts.keys.len()), (3, 2, 1));
 }
@@ -153,7 +153,7 @@
 fn loads_share_the_speed_of_eight() {
     // Eight at once are at full speed, sixteen take twice as long.
     for (loads, expected) in [(1, 250), (8, 250), (16, 500), (24, 750)] {
-        let mut sharing = Sharing::new(Duration::ZERO);
+        let mut sharing = SharedBandwidth::new(Duration::ZERO);
         let marks: Vec<_> = (0..loads).map(|_| sharing.begin(MS, 250 * MS)).collect();
         for mark in marks {
             assert_eq!(sharing.left(MS, mark), expected * MS, "{loads} loads");
@@ -163,7 +163,7 @@
 
 #[test]
 fn loads_speed_up_when_others_end() {
-    let mut sharing = Sharing::new(Duration::ZERO);
+    let mut sharing = SharedBandwidth::new(Duration::ZERO);
     let mark = sharing.begin(Duration::ZERO, 250 * MS);
     (1..16).for_each(|_| {
         sharing.begin(Duration::ZERO, 250 * MS);
--- a/kingcupbay_standin/tests/process.rs
+++ b/kingcupbay_standin/tests/process.rs
@@ -10,7 +10,7 @@
 };
 
 use common::{any, get, post};
-use kingcupbay_standin::{Control, EngineRecord, Executions, Fault, Rule};
+use kingcupbay_standin::{Control, EngineRecord, ExecutionCounts, Fault, Rule};
 
 /// A stand-in's process, killed when the test ends.
 struct Process {
@@ -78,18 +78,18 @@
     let service = Process::start(&["service", "--control", "127.0.0.1:0"]);
     let control = Control::new(service.address("control"));
     let address = service.address("address");
-    control.record(true).await.unwrap();
-    let id = control.set(Rule::new(Fault::LoseAnswer).times(1)).await.unwrap();
+    control.set_recording(true).await.unwrap();
+    let id = control.add_rule(Rule::new(Fault::LoseAnswer).times(1)).await.unwrap();
     assert!(post(address, "/call/award", &"rose").await.is_err());
-    control.hit(id, 1).await.unwrap();
-    let executions: Executions = control.get("/executions").await.unwrap();
+    control.wait_for_hits(id, 1).await.unwrap();
+    let executions: ExecutionCounts = control.get("/executions").await.unwrap();
     assert_eq!(executions.total, 1);
     let received = String::from_utf8(control.received().await.unwrap()).unwrap();
     assert!(received.contains("POST /call/award") && received.contains("\"rose\""));
-    control.set(Rule::new(Fault::Refuse)).await.unwrap();
+    control.add_rule(Rule::new(Fault::Refuse)).await.unwrap();
     assert!(post(address, "/call/award", &"rose").await.is_err());
     control.clear_all().await.unwrap();
-    let executions: Executions = control.get("/executions").await.unwrap();
+    let executions: ExecutionCounts = control.get("/executions").await.unwrap();
     assert_eq!(executions.total, 1);
 }
 
--- a/kingcupbayd/examples/embedded.rs
+++ b/kingcupbayd/examples/embedded.rs
@@ -55,7 +55,7 @@
     let any: SocketAddr = (Ipv4Addr::LOCALHOST, 0).into();
     let platform = Platform::start(any, Duration::from_millis(250))?;
     let settings =
-        EngineSettings { weights: Some(platform.server().address()), ..Default::default() };
+        EngineSettings { weight_store: Some(platform.server().address()), ..Default::default() };
     let engines = [Engine::start(any, settings.clone())?, Engine::start(any, settings)?];
     let service = PlainService::start(any)?;
     let mut daemons = Vec::new();
--- a/kingcupbayd/tests/failure.rs
+++ b/kingcupbayd/tests/failure.rs
@@ -63,7 +63,7 @@
 /// Sets a rule on both engines, for one stream or load of each.
 async fn hit_each_once(fleet: &Fleet, fault: Fault) {
     for engine in &fleet.engines {
-        control(engine).set(Rule::new(fault).times(1)).await.unwrap();
+        control(engine).add_rule(Rule::new(fault).times(1)).await.unwrap();
     }
 }
 
@@ -232,7 +232,7 @@
     })
     .await;
     // The patch is the next write, and the fencing number the one after it.
-    control(&fleet.platform).set(Rule::new(Fault::Outage).path("/txn").skip(1)).await.unwrap();
+    control(&fleet.platform).add_rule(Rule::new(Fault::Outage).path("/txn").skip(1)).await.unwrap();
     let changes = [model_upstream("gpu-1", "upstream-1", &engine)];
     let number = common::apply(&fleet.entries[0], &changes).await;
     common::knows(&fleet.entries[0], number).await;
@@ -329,7 +329,10 @@
     let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "0"], TIGHT).await;
     let order = order(&fleet).await;
     let engine = control(&fleet.engines[0]);
-    engine.set(Rule::new(Fault::Slow { millis: 300 }).path("/v1/load").times(1)).await.unwrap();
+    engine
+        .add_rule(Rule::new(Fault::Slow { millis: 300 }).path("/v1/load").times(1))
+        .await
+        .unwrap();
     let upstream = &fleet.upstreams[0];
     let first = run(upstream, &order);
     let second = async {
@@ -373,7 +376,7 @@
     second.clear_all().await.unwrap();
     assert_whole(&answer(&fleet).await);
     for engine in &fleet.engines {
-        control(engine).set(Rule::new(Fault::FailLoads)).await.unwrap();
+        control(engine).add_rule(Rule::new(Fault::FailLoads)).await.unwrap();
     }
     let body = completion("tasting@v2", TOKENS);
     let refused = finish(ask(&fleet.entries[0], "/v1/completions"), &body).await;
--- a/kingcupbayd/tests/fleet.rs
+++ b/kingcupbayd/tests/fleet.rs
@@ -50,7 +50,7 @@
 #[actix_rt::test]
 async fn a_table_outage_for_everyone_costs_callers_nothing() {
     let fleet = three().await;
-    control(&fleet.platform).set(Rule::new(Fault::Outage)).await.unwrap();
+    control(&fleet.platform).add_rule(Rule::new(Fault::Outage)).await.unwrap();
     let begin = Instant::now();
     while begin.elapsed() < LAPSE {
         let answer = answer(&fleet).await;
@@ -64,7 +64,7 @@
 #[actix_rt::test]
 async fn an_entry_cut_off_from_table_and_peers_stops() {
     let fleet = three().await;
-    control(&fleet.platform).set(Rule::new(Fault::Outage)).await.unwrap();
+    control(&fleet.platform).add_rule(Rule::new(Fault::Outage)).await.unwrap();
     fleet.upstreams.iter().for_each(|upstream| upstream.signal("-STOP"));
     let entry = &fleet.entries[0];
     until("the lapse", async || (get(entry, "/ready").await == "not ready\n").then_some(())).await;
@@ -87,7 +87,7 @@
 async fn a_patch_whose_answer_was_lost_is_acknowledged_and_repeats() {
     let fleet = three().await;
     let rule = Rule::new(Fault::LoseAnswer).path("/txn").times(1);
-    control(&fleet.platform).set(rule).await.unwrap();
+    control(&fleet.platform).add_rule(rule).await.unwrap();
     let patch = patch(&fleet, 1).await;
     for _ in 0..2 {
         let (status, body) = post_patch(&fleet.entries[0], &patch).await;
--- a/kingcupbayd/tests/input.rs
+++ b/kingcupbayd/tests/input.rs
@@ -168,7 +168,7 @@
 async fn no_byte_of_a_key_reaches_an_engine() {
     let fleet = small().await;
     let engine = control(&fleet.engines[0]);
-    engine.record(true).await.unwrap();
+    engine.set_recording(true).await.unwrap();
     let answer = finish(ask(&fleet.entries[0], "/v1/completions"), &completion("tasting", 8)).await;
     assert_eq!(answer.status, 200);
     let received = engine.received().await.unwrap();
@@ -196,7 +196,7 @@
     }
     fleet.apply(&changes).await;
     let recorder = control(&service);
-    recorder.record(true).await.unwrap();
+    recorder.set_recording(true).await.unwrap();
     for route in ["book", "look"] {
         let request = ask(&fleet.entries[0], &format!("/v1/call/{route}/seats"));
         let request = request.insert_header(("idempotency-key", route));
--- a/kingcupbayd/tests/listen.rs
+++ b/kingcupbayd/tests/listen.rs
@@ -198,7 +198,7 @@
     let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
     fleet.ready().await;
-    fleet.store.server().set(Rule::new(Fault::Silent));
+    fleet.store.server().add_rule(Rule::new(Fault::Silent));
     until("the loss", async || fleet.entry.has_line("table=op event=feed_lost").then_some(()))
         .await;
     let reads = async |fleet: &Fleet, table: &str| {
@@ -209,6 +209,6 @@
     let (op, servers) = (reads(&fleet, "op").await, reads(&fleet, "servers").await);
     until("three more reads", async || (reads(&fleet, "op").await >= op + 3).then_some(())).await;
     assert_eq!(reads(&fleet, "servers").await, servers);
-    fleet.store.server().order(FaultOrder::ClearAll);
+    fleet.store.server().apply(FaultOrder::ClearAll);
     until("the list", async || fleet.entry.has_line("after_outage=true").then_some(())).await;
 }
--- a/kingcupbayd/tests/news.rs
+++ b/kingcupbayd/tests/news.rs
@@ -57,7 +57,7 @@
         fleet.ready().await;
     }
     assert_eq!(cut.ask("GET", "/seats/today", "a1").await.status, 200);
-    cut.store.server().set(Rule::new(Fault::Silent));
+    cut.store.server().add_rule(Rule::new(Fault::Silent));
     // The two stores count on their own; a removal is newer than what it removes.
     for round in 0..20 {
         other.store.put("op", "round", &json!(round));
@@ -72,7 +72,7 @@
     })
     .await;
     cut.store.remove("servers", "desk-1");
-    cut.store.server().order(FaultOrder::ClearAll);
+    cut.store.server().apply(FaultOrder::ClearAll);
     until("the list after the cut", async || cut.entry.has_line("after_outage=true").then_some(()))
         .await;
     assert_eq!(cut.ask("GET", "/seats/today", "a3").await.status, 503);
@@ -146,13 +146,13 @@
         desk
     });
     fleet.ready().await;
-    fleet.store.server().set(Rule::new(Fault::Silent));
+    fleet.store.server().add_rule(Rule::new(Fault::Silent));
     until("the cut to show", async || {
         fleet.entry.has_line("table=servers event=feed_lost").then_some(())
     })
     .await;
     fleet.store.remove("servers", "desk-1");
-    fleet.store.server().order(FaultOrder::ClearAll);
+    fleet.store.server().apply(FaultOrder::ClearAll);
     until("the list after the cut", async || {
         fleet.entry.has_line("after_outage=true").then_some(())
     })
--- a/kingcupbayd/tests/once.rs
+++ b/kingcupbayd/tests/once.rs
@@ -10,7 +10,7 @@
     service_upstream, standin, until,
 };
 use kingcupbay_core::config::change::Change;
-use kingcupbay_standin::{Executions, Fault, Rule};
+use kingcupbay_standin::{ExecutionCounts, Fault, Rule};
 use serde_json::json;
 
 /// A platform, one service behind one upstream daemon, and an entry.
@@ -64,14 +64,14 @@
 
     /// How often the service executed the call with this key.
     async fn ran(&self, key: &str) -> u64 {
-        let counts: Executions = control(&self.service).get("/executions").await.unwrap();
+        let counts: ExecutionCounts = control(&self.service).get("/executions").await.unwrap();
         counts.keys.get(key).copied().unwrap_or(0)
     }
 
     /// Puts a rule of the table's transactions in force, once.
     async fn table(&self, fault: Fault, skip: u32) {
         let rule = Rule::new(fault).path("/txn").skip(skip).times(1);
-        control(&self.platform).set(rule).await.unwrap();
+        control(&self.platform).add_rule(rule).await.unwrap();
     }
 
     /// Puts another upstream daemon on the host; gives back the old one.
@@ -91,7 +91,7 @@
     }
 
     async fn service(&self, fault: Fault) {
-        control(&self.service).set(Rule::new(fault).path("/call").times(1)).await.unwrap();
+        control(&self.service).add_rule(Rule::new(fault).path("/call").times(1)).await.unwrap();
     }
 }
 
@@ -131,7 +131,7 @@
 async fn a_table_that_is_down_refuses_truly() {
     let desk = Desk::start().await;
     let rule = Rule::new(Fault::Outage).path("/txn");
-    control(&desk.platform).set(rule).await.unwrap();
+    control(&desk.platform).add_rule(rule).await.unwrap();
     let refused = desk.book("a").await;
     assert_eq!((refused.status, refused.code().as_str()), (503, "store_down"));
     assert_eq!((refused.ran().as_str(), refused.retry_after), ("not_run", Some(1)));
@@ -146,7 +146,7 @@
 #[actix_rt::test]
 async fn a_first_call_without_the_table_is_refused_soon() {
     let desk = Desk::fresh().await;
-    control(&desk.platform).set(Rule::new(Fault::Outage)).await.unwrap();
+    control(&desk.platform).add_rule(Rule::new(Fault::Outage)).await.unwrap();
     let refused = tokio::time::timeout(common::PATIENCE, desk.call("a", "600000", "seat")).await;
     let refused = refused.unwrap();
     assert_eq!((refused.status, refused.code().as_str()), (503, "store_down"));
@@ -174,7 +174,7 @@
 #[actix_rt::test]
 async fn a_call_that_never_left_frees_its_key() {
     let desk = Desk::start().await;
-    control(&desk.service).set(Rule::new(Fault::Refuse)).await.unwrap();
+    control(&desk.service).add_rule(Rule::new(Fault::Refuse)).await.unwrap();
     let refused = desk.book("a").await;
     assert_eq!((refused.status, refused.code().as_str()), (502, "upstream_failed"));
     assert_eq!((refused.ran().as_str(), refused.retry_after), ("not_run", Some(1)));
--- a/kingcupbayd/tests/registered.rs
+++ b/kingcupbayd/tests/registered.rs
@@ -135,7 +135,7 @@
     let fleet = Fleet::start(1).await;
     let desks = ["desk-1", "desk-2"].map(|id| {
         let desk = UpstreamServer::start(ANY, UpstreamSettings::plain(id)).unwrap();
-        desk.server().set(Rule::new(Fault::LoseAnswer).path("/book/"));
+        desk.server().add_rule(Rule::new(Fault::LoseAnswer).path("/book/"));
         fleet.register(id, "desk", &desk);
         desk
     });
@@ -156,7 +156,7 @@
         fleet.register(id, "desk", &desk);
         desk
     });
-    desks[0].server().set(Rule::new(Fault::LoseAnswer).path("/seats/"));
+    desks[0].server().add_rule(Rule::new(Fault::LoseAnswer).path("/seats/"));
     fleet.ready().await;
     for attempt in ["a1", "a2", "a3", "a4"] {
         let got = fleet.ask("GET", "/seats/today", attempt).await;
--- a/kingcupbayd/tests/share.rs
+++ b/kingcupbayd/tests/share.rs
@@ -115,7 +115,7 @@
 async fn shares_move_while_the_table_is_down() {
     let begin = Instant::now();
     let fleet = pair().await;
-    control(&fleet.platform).set(Rule::new(Fault::Outage)).await.unwrap();
+    control(&fleet.platform).add_rule(Rule::new(Fault::Outage)).await.unwrap();
     // No proof from the table lasts as long; that it ended shows nowhere.
     tokio::time::sleep((FRESHNESS_BOUND + FRESHNESS_BOUND).into()).await;
     let first = exhaust(&fleet.entries[0]).await;
