--- a/kingcupbay_standin/src/changes.rs
+++ b/kingcupbay_standin/src/changes.rs
@@ -1,10 +1,10 @@
-//! Waiting for a state to change, so that tests need not sleep.
+//! Waiting for a change of state, so that tests need not sleep.
 
 use std::future::pending;
 
 use tokio::sync::watch;
 
-/// Tells waiters that something may have changed.
+/// Notifies waiters that something may have changed.
 #[derive(Default)]
 pub(crate) struct Changes {
     sender: watch::Sender<()>,
@@ -20,8 +20,8 @@
     }
 }
 
-/// Waits until `holds`; forever when its state is gone.
-pub(crate) async fn until(mut changes: watch::Receiver<()>, holds: impl Fn() -> bool) {
+/// Waits until `holds` returns true; waits forever when the sender is dropped.
+pub(crate) async fn wait_until(mut changes: watch::Receiver<()>, holds: impl Fn() -> bool) {
     while !holds() {
         if changes.changed().await.is_err() {
             return pending().await;
--- a/kingcupbay_standin/src/engine/mod.rs
+++ b/kingcupbay_standin/src/engine/mod.rs
@@ -1,9 +1,10 @@
-//! A model engine without a model.
+//! Stand-in for a model engine, without a model.
 //!
-//! Orders arrive as `kingcupbay_core::wire::engine` has them. [`state`]
-//! decides about slots, batch and queue; [`load`] takes weights from the
-//! store into a slot; [`stream`] generates; [`report`] tells of it, late and
-//! with gaps when asked to; [`record`] remembers it all for tests.
+//! Orders use the types of `kingcupbay_core::wire::engine`. [`state`] manages
+//! slots, batch and queue; [`load`] loads weights from the weight store into a
+//! slot; [`stream`] generates tokens; [`report`] publishes load reports and
+//! events, delayed or with some missing if a fault says so; [`record`] keeps
+//! what happened for tests.
 
 use std::{
     cell::RefCell,
@@ -20,11 +21,11 @@
 
 use self::{
     record::{EngineRecord, Outcome},
-    state::{Refused, State},
+    state::{Refusal, State},
     stream::{Generation, Limit},
 };
 use crate::{
-    changes::until,
+    changes::wait_until,
     fault::{Fault, FaultRules},
     server::{
         Behaviour, Server,
@@ -40,33 +41,33 @@
 mod stream;
 pub(crate) mod text;
 
-/// Path of load orders, and of the rules that fail loads.
+/// Path of load orders, which rules that fail loads match too.
 const LOAD: &str = "/v1/load_lora_adapter";
-/// Path of events, and of the rules that lose them.
+/// Path of events, which rules that lose events match too.
 const EVENTS: &str = "/events";
 
-/// How an engine behaves.
+/// Settings of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Adapter slots.
+    /// Number of adapter slots.
     pub slots: u32,
-    /// Streams generated at the same time; the rest wait by priority.
+    /// Most streams generated at the same time; the others wait by priority.
     pub batch_size: u32,
     /// Name of the base model, which needs no slot.
     pub base_model: String,
-    /// Time from a stream's place in the batch to its first token.
+    /// Time from a stream's entry into the batch to its first token.
     pub first_token: Duration,
     /// Time between tokens.
     pub token_interval: Duration,
-    /// Most tokens of any answer; a longer order ends with `stop`.
+    /// Most tokens of any answer; one cut short by it ends with reason `stop`.
     pub max_tokens: u32,
-    /// Weight store to load from.
+    /// Address of the weight store to load from.
     pub weight_store: Option<SocketAddr>,
-    /// Time of a load without a weight store.
+    /// Duration of a load without a weight store.
     pub load_time: Duration,
     /// Whether orders with an old fencing number are refused.
     pub check_fencing: bool,
-    /// First incarnation; from the host's clock when absent.
+    /// First incarnation; taken from the host's clock when absent.
     pub incarnation: Option<u64>,
 }
 
@@ -87,11 +88,11 @@
     }
 }
 
-/// JSON body of a 409 that refuses an old fencing number.
+/// JSON body of the 409 that refuses an old fencing number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct FencingConflict {
-    /// The newest number the engine has seen.
+    /// Highest fencing number that the engine has seen.
     pub fencing: u64,
 }
 
@@ -108,67 +109,69 @@
 }
 
 impl Engine {
-    /// Starts an empty engine on `address`, on the current thread.
+    /// Starts an empty engine on `address`, on the current thread. Fails when
+    /// the address cannot be bound.
     pub fn start(address: SocketAddr, settings: Settings) -> io::Result<Engine> {
         let incarnation = settings.incarnation.unwrap_or_else(incarnation);
         let shared = Rc::new(Shared {
             state: Rc::new(RefCell::new(State::new(settings, incarnation))),
             faults: Rc::default(),
-            // A load takes as long as the weight store makes it take.
+            // The weight store decides how long a load takes.
             client: awc::Client::builder().disable_timeout().finish(),
         });
         let server = Server::start(address, behaviour(&shared))?;
         Ok(Engine { server, shared })
     }
 
-    /// The server under it.
+    /// Returns the HTTP server of this stand-in.
     pub fn server(&self) -> &Server {
         &self.server
     }
 
-    /// The server under it, to open its control address.
+    /// Returns the HTTP server mutably, to open its control address.
     pub fn server_mut(&mut self) -> &mut Server {
         &mut self.server
     }
 
-    /// What it recorded.
+    /// Returns what the engine recorded.
     pub fn record(&self) -> EngineRecord {
         self.shared.state.borrow().record().clone()
     }
 
-    /// Waits until its record satisfies a condition.
+    /// Waits until the record satisfies a condition.
     pub async fn wait_until(&self, holds: impl Fn(&EngineRecord) -> bool) {
         let state = &self.shared.state;
         let changes = state.borrow().changes();
-        until(changes, || holds(state.borrow().record())).await;
+        wait_until(changes, || holds(state.borrow().record())).await;
     }
 
-    /// Its load as it is now, without lag.
+    /// Returns the current load, without lag.
     pub fn load_report(&self) -> LoadReport {
-        self.shared.state.borrow().current()
+        self.shared.state.borrow().current_load()
     }
 
-    /// All events of this incarnation that are not lost, without lag.
+    /// Returns all events of this incarnation except lost ones, without lag.
     pub fn events(&self) -> Vec<Event> {
         self.shared.state.borrow().events(Duration::ZERO, 0).events
     }
 
-    /// Changes the pace of tokens, also of running streams.
-    pub fn set_token_times(&self, first: Duration, gap: Duration) {
+    /// Sets the time to the first token and the time between tokens, also for
+    /// running streams.
+    pub fn set_token_times(&self, first_token: Duration, token_interval: Duration) {
         let mut state = self.shared.state.borrow_mut();
-        state.settings.first_token = first;
-        state.settings.token_interval = gap;
+        state.settings.first_token = first_token;
+        state.settings.token_interval = token_interval;
     }
 }
 
-/// Differs after every restart of the process.
+/// Returns the clock's microseconds, so that each start of the process differs.
 fn incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(1, |since| since.as_micros() as u64)
 }
 
 impl Shared {
-    fn loses_event(&self) -> bool {
+    fn drops_event(&self) -> bool {
         let loses = |fault| (fault == Fault::LoseEvents).then_some(());
         !self.faults.borrow_mut().hit(EVENTS, loses).is_empty()
     }
@@ -217,7 +220,7 @@
     if !shape || !order.stream {
         return Err(call::text(StatusCode::BAD_REQUEST, "prompt or messages, and stream=true"));
     }
-    let accepted = shared.state.borrow_mut().accept(&order);
+    let accepted = shared.state.borrow_mut().accept_stream(&order);
     let accepted = accepted.map_err(|refused| refusal(&refused))?;
     let limits = shared.faults.borrow_mut().hit(&call.path, |fault| match fault {
         Fault::StallStreams { tokens } => Some(Limit::Stall(tokens)),
@@ -231,7 +234,7 @@
 
 fn unload(shared: &Shared, order: &UnloadAdapter) -> Result<Answer, Answer> {
     let mut state = shared.state.borrow_mut();
-    match state.unload(&order.lora_name, order.fencing, || shared.loses_event()) {
+    match state.unload(&order.lora_name, order.fencing, || shared.drops_event()) {
         Ok(()) => Ok(call::empty(StatusCode::OK)),
         Err(refused) => Err(refusal(&refused)),
     }
@@ -256,13 +259,13 @@
     Ok(call::json(&shared.state.borrow().events(lag, after)))
 }
 
-fn refusal(refused: &Refused) -> Answer {
+fn refusal(refused: &Refusal) -> Answer {
     match *refused {
-        Refused::Fenced { newest } => {
+        Refusal::Fenced { newest } => {
             call::status_json(StatusCode::CONFLICT, &FencingConflict { fencing: newest })
         }
-        Refused::SlotsFull => call::text(StatusCode::INSUFFICIENT_STORAGE, "no slot is free"),
-        Refused::InUse => call::text(StatusCode::CONFLICT, "in use"),
-        Refused::UnknownModel => call::text(StatusCode::NOT_FOUND, "model not loaded"),
+        Refusal::SlotsFull => call::text(StatusCode::INSUFFICIENT_STORAGE, "no slot is free"),
+        Refusal::InUse => call::text(StatusCode::CONFLICT, "in use"),
+        Refusal::UnknownModel => call::text(StatusCode::NOT_FOUND, "model not loaded"),
     }
 }
--- a/kingcupbay_standin/src/engine/report.rs
+++ b/kingcupbay_standin/src/engine/report.rs
@@ -1,5 +1,4 @@
-//! What the engine tells about itself: load reports and residency events,
-//! both as late as asked for.
+//! Load reports and residency events of the engine, shown with a given lag.
 
 use std::time::Duration;
 
@@ -11,9 +10,9 @@
 /// Reports and events of one incarnation.
 pub(crate) struct Reports {
     load: Lagged<LoadReport>,
-    /// Number of the last event, shown or lost.
+    /// Number of the last event, lost ones included.
     seq: u64,
-    /// Invariant: numbers and times grow.
+    /// Invariant: numbers and times are in ascending order.
     events: Vec<(Instant, Event)>,
 }
 
--- a/kingcupbay_standin/src/engine/state.rs
+++ b/kingcupbay_standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! The engine's state: adapter slots, the batch and its queue.
+//! State of the engine: adapter slots, the batch and its queue.
 
 use std::{
     cmp::Reverse,
@@ -18,10 +18,10 @@
 };
 use crate::changes::Changes;
 
-/// Key of a stream; also its place in [`EngineRecord::ran`].
+/// Key of a stream; also its index in [`EngineRecord::ran`].
 pub(crate) type StreamKey = usize;
 
-/// What a stream is told by the state.
+/// Phase of a stream, as the state publishes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     Waiting,
@@ -29,23 +29,23 @@
     Ended(Outcome),
 }
 
-/// How a load ended.
+/// Receives whether a load succeeded; `None` while it runs.
 pub(crate) type LoadEnd = watch::Receiver<Option<bool>>;
 
-/// What a load order leads to.
+/// Result of a load order.
 pub(crate) enum Load {
     Loaded,
-    /// Another order loads it already.
+    /// Another order is already loading the version.
     Joined(LoadEnd),
-    /// The caller carries the load out and reports its end.
-    Begun {
+    /// The caller must perform the load and call [`State::end_load`].
+    Started {
         end: LoadEnd,
         incarnation: u64,
     },
 }
 
-/// Why an order is refused.
-pub(crate) enum Refused {
+/// Reason why an order is refused.
+pub(crate) enum Refusal {
     Fenced { newest: u64 },
     SlotsFull,
     InUse,
@@ -64,18 +64,18 @@
     phase: watch::Sender<Phase>,
 }
 
-/// State of one engine over its incarnations.
+/// State of one engine, over all its incarnations.
 pub(crate) struct State {
     pub(crate) settings: Settings,
     incarnation: u64,
-    /// Highest fencing number seen. It outlives a restart: an engine that
-    /// forgot it would obey an old orderer again.
-    fence: u64,
+    /// Highest fencing number seen. It survives a restart: otherwise the
+    /// engine would accept orders of an old holder again.
+    newest_fencing: u64,
     /// Invariant: at most `settings.slots` entries.
     slots: BTreeMap<String, Slot>,
     /// Invariant: the model of each is the base model or in a loaded slot.
     streams: BTreeMap<StreamKey, Stream>,
-    /// Streams that wait for the batch, the next one first.
+    /// Streams that wait for the batch, in the order in which they start.
     queue: BTreeSet<(Reverse<i32>, StreamKey)>,
     reports: Reports,
     record: EngineRecord,
@@ -88,7 +88,7 @@
         let mut state = State {
             settings,
             incarnation,
-            fence: 0,
+            newest_fencing: 0,
             slots: BTreeMap::new(),
             streams: BTreeMap::new(),
             queue: BTreeSet::new(),
@@ -96,7 +96,7 @@
             record: EngineRecord::default(),
             changes: Changes::default(),
         };
-        state.reports = Reports::new(Instant::now(), state.current());
+        state.reports = Reports::new(Instant::now(), state.current_load());
         state
     }
 
@@ -112,8 +112,8 @@
         &self.reports
     }
 
-    /// The load as it is now, without any lag.
-    pub(crate) fn current(&self) -> LoadReport {
+    /// Returns the current load, without lag.
+    pub(crate) fn current_load(&self) -> LoadReport {
         let loaded =
             |(name, slot): (&String, &Slot)| matches!(slot, Slot::Loaded).then(|| name.clone());
         LoadReport {
@@ -125,20 +125,20 @@
         }
     }
 
-    /// Events that are not lost and not late, after a number.
+    /// Returns the events after a number that are not lost and at least `lag` old.
     pub(crate) fn events(&self, lag: std::time::Duration, after: u64) -> Events {
         self.reports.events(Instant::now(), lag, after)
     }
 
-    /// Takes a stream in. From here on its adapter is in use.
-    pub(crate) fn accept(
+    /// Adds a stream to the queue. From here on its adapter is in use.
+    pub(crate) fn accept_stream(
         &mut self,
         order: &Generate,
-    ) -> Result<(StreamKey, watch::Receiver<Phase>), Refused> {
+    ) -> Result<(StreamKey, watch::Receiver<Phase>), Refusal> {
         let known = order.model == self.settings.base_model
             || matches!(self.slots.get(&order.model), Some(Slot::Loaded));
         if !known {
-            return Err(Refused::UnknownModel);
+            return Err(Refusal::UnknownModel);
         }
         self.end_request(order.request_id, Outcome::Superseded);
         let key = self.record.ran.len();
@@ -158,25 +158,25 @@
         };
         self.queue.insert((Reverse(stream.priority), key));
         self.streams.insert(key, stream);
-        self.fill();
+        self.fill_batch();
         Ok((key, receiver))
     }
 
-    /// Counts a token of a stream.
-    pub(crate) fn generated(&mut self, key: StreamKey) {
+    /// Counts a count_token token of a stream.
+    pub(crate) fn count_token(&mut self, key: StreamKey) {
         self.record.ran[key].tokens += 1;
         self.changes.notify();
     }
 
-    /// Ends a stream; nothing when it has ended already.
-    pub(crate) fn end(&mut self, key: StreamKey, outcome: Outcome) {
+    /// Ends a stream; has no effect if it has already ended.
+    pub(crate) fn end_stream(&mut self, key: StreamKey, outcome: Outcome) {
         let Some(stream) = self.streams.remove(&key) else {
             return;
         };
         self.queue.remove(&(Reverse(stream.priority), key));
         self.record.ran[key].outcome = outcome;
         stream.phase.send_replace(Phase::Ended(outcome));
-        self.fill();
+        self.fill_batch();
     }
 
     /// Ends every stream of a request.
@@ -184,10 +184,10 @@
         let of_request =
             |(&key, stream): (&StreamKey, &Stream)| (stream.request == request).then_some(key);
         let keys: Vec<_> = self.streams.iter().filter_map(of_request).collect();
-        keys.into_iter().for_each(|key| self.end(key, outcome));
+        keys.into_iter().for_each(|key| self.end_stream(key, outcome));
     }
 
-    pub(crate) fn begin_load(&mut self, name: &str, fencing: u64) -> Result<Load, Refused> {
+    pub(crate) fn begin_load(&mut self, name: &str, fencing: u64) -> Result<Load, Refusal> {
         self.check_fencing(fencing)?;
         match self.slots.get(name) {
             Some(Slot::Loaded) => return Ok(Load::Loaded),
@@ -195,81 +195,81 @@
             None => {}
         }
         if self.slots.len() as u32 >= self.settings.slots {
-            return Err(Refused::SlotsFull);
+            return Err(Refusal::SlotsFull);
         }
         let (sender, end) = watch::channel(None);
         self.slots.insert(name.to_owned(), Slot::Loading(sender));
-        Ok(Load::Begun { end, incarnation: self.incarnation })
+        Ok(Load::Started { end, incarnation: self.incarnation })
     }
 
-    /// Reports the end of a load. One begun before a restart has no effect.
+    /// Records the end of a load; ignores a load that began before a restart.
     pub(crate) fn end_load(
         &mut self,
         name: &str,
         incarnation: u64,
         loaded: bool,
-        lost: impl FnOnce() -> bool,
+        is_lost: impl FnOnce() -> bool,
     ) {
         if incarnation != self.incarnation {
             return;
         }
         let Some(Slot::Loading(end)) = self.slots.remove(name) else {
-            unreachable!("only the end of its load or a restart changes a loading slot");
+            unreachable!("a loading slot changes only when its load ends or at a restart");
         };
         if loaded {
             self.slots.insert(name.to_owned(), Slot::Loaded);
             self.record.loads.push(name.to_owned());
-            self.reports.push(Instant::now(), EventKind::Loaded, name, lost());
+            self.reports.push(Instant::now(), EventKind::Loaded, name, is_lost());
         } else {
             self.record.failed_loads += 1;
         }
         end.send_replace(Some(loaded));
-        self.report();
+        self.update_report();
     }
 
-    /// Unloads a version. One that is still loading counts as in use.
+    /// Unloads a version. A version that is still loading counts as in use.
     pub(crate) fn unload(
         &mut self,
         name: &str,
         fencing: u64,
-        lost: impl FnOnce() -> bool,
-    ) -> Result<(), Refused> {
+        is_lost: impl FnOnce() -> bool,
+    ) -> Result<(), Refusal> {
         self.check_fencing(fencing)?;
         let loading = matches!(self.slots.get(name), Some(Slot::Loading(_)));
         if loading || self.streams.values().any(|stream| stream.model == name) {
             self.record.unloads_in_use.push(name.to_owned());
             self.changes.notify();
-            return Err(Refused::InUse);
+            return Err(Refusal::InUse);
         }
         if self.slots.remove(name).is_some() {
             self.record.unloads.push(name.to_owned());
-            self.reports.push(Instant::now(), EventKind::Unloaded, name, lost());
-            self.report();
+            self.reports.push(Instant::now(), EventKind::Unloaded, name, is_lost());
+            self.update_report();
         }
         Ok(())
     }
 
-    /// Restarts empty: streams are cut, loads in flight are forgotten, slots
-    /// and events are gone, and the incarnation changes.
+    /// Restarts with an empty state: cuts all streams, discards loads in
+    /// flight, slots and events, and increments the incarnation.
     pub(crate) fn restart(&mut self) {
         self.incarnation += 1;
         self.slots.clear();
-        // Those that wait go first, or they would take the places freed.
+        // Waiting streams end first, or they would start in the freed batch.
         let waiting: Vec<_> = self.queue.iter().map(|&(_, key)| key).collect();
-        waiting.into_iter().for_each(|key| self.end(key, Outcome::Cut));
+        waiting.into_iter().for_each(|key| self.end_stream(key, Outcome::Cut));
         let running: Vec<_> = self.streams.keys().copied().collect();
-        running.into_iter().for_each(|key| self.end(key, Outcome::Cut));
-        self.reports = Reports::new(Instant::now(), self.current());
+        running.into_iter().for_each(|key| self.end_stream(key, Outcome::Cut));
+        self.reports = Reports::new(Instant::now(), self.current_load());
     }
 
-    fn check_fencing(&mut self, fencing: u64) -> Result<(), Refused> {
-        if fencing >= self.fence {
-            self.fence = fencing;
+    fn check_fencing(&mut self, fencing: u64) -> Result<(), Refusal> {
+        if fencing >= self.newest_fencing {
+            self.newest_fencing = fencing;
             return Ok(());
         }
         if self.settings.check_fencing {
             self.record.fenced += 1;
-            return Err(Refused::Fenced { newest: self.fence });
+            return Err(Refusal::Fenced { newest: self.newest_fencing });
         }
         self.record.stale += 1;
         Ok(())
@@ -279,8 +279,8 @@
         (self.streams.len() - self.queue.len()) as u32
     }
 
-    /// Gives free places of the batch to those who wait.
-    fn fill(&mut self) {
+    /// Moves waiting streams into the batch while it has room.
+    fn fill_batch(&mut self) {
         while self.running() < self.settings.batch_size {
             let Some((_, key)) = self.queue.pop_first() else {
                 break;
@@ -290,11 +290,11 @@
             stream.phase.send_replace(Phase::Running);
         }
         self.record.most_running = self.record.most_running.max(self.running());
-        self.report();
+        self.update_report();
     }
 
-    fn report(&mut self) {
-        let report = self.current();
+    fn update_report(&mut self) {
+        let report = self.current_load();
         self.reports.set(Instant::now(), report);
         self.changes.notify();
     }
--- a/kingcupbay_standin/src/engine/stream.rs
+++ b/kingcupbay_standin/src/engine/stream.rs
@@ -1,7 +1,7 @@
-//! One generation as a stream of server-sent events.
+//! A generation as a stream of server-sent events.
 //!
-//! A cancelled stream ends like an HTTP answer should, but without `[DONE]`;
-//! one that is replaced, cut or lost in a restart ends its connection.
+//! A cancelled stream completes its HTTP body, but without `[DONE]`. A stream
+//! that is superseded, cut or ended by a restart closes its connection.
 
 use std::{cell::RefCell, future::pending, rc::Rc};
 
@@ -20,42 +20,42 @@
     text::{prompt_tokens, token_text},
 };
 
-/// End of a stream of events.
+/// Last event of a complete stream.
 const DONE: &str = "data: [DONE]\n\n";
 
-/// Ends the connection without completing the answer.
+/// Error that closes the connection before the answer is complete.
 #[derive(Debug)]
 #[derive(Error)]
 #[error("the stream was cut")]
 pub(crate) struct Cut;
 
-/// A fault that ends a stream early.
+/// Fault that stalls or ends a stream early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Limit {
-    /// Nothing more after this many tokens.
+    /// Sends nothing more after this many tokens.
     Stall(u32),
-    /// The connection ends after this many tokens.
+    /// Closes the connection after this many tokens.
     Cut(u32),
 }
 
 /// A running generation. Dropping it ends the stream in the engine, which
-/// frees its place in the batch and its use of the adapter.
+/// leaves the batch and no longer uses the adapter.
 pub(crate) struct Generation {
     state: Rc<RefCell<State>>,
     key: StreamKey,
     phase: watch::Receiver<Phase>,
     order: Generate,
     limit: Option<Limit>,
-    /// When the next token is due; `None` until the batch takes the stream.
+    /// Time when the next token is due; `None` until the stream enters the batch.
     due: Option<Instant>,
-    /// Position of the next token.
+    /// Offset of the next token.
     next: u32,
     done: bool,
 }
 
 impl Drop for Generation {
     fn drop(&mut self) {
-        self.state.borrow_mut().end(self.key, Outcome::Dropped);
+        self.state.borrow_mut().end_stream(self.key, Outcome::Dropped);
     }
 }
 
@@ -71,7 +71,7 @@
         Generation { state, key, phase, order, limit, due: None, next, done: false }
     }
 
-    /// The events; an `Err` ends the connection.
+    /// Returns the events; an `Err` closes the connection.
     pub(crate) fn events(self) -> impl Stream<Item = Result<Bytes, Cut>> {
         futures_util::stream::unfold(self, |mut generation| async move {
             let item = generation.next().await?;
@@ -83,7 +83,7 @@
         if self.done {
             return None;
         }
-        match self.wait().await {
+        match self.wait_for_event().await {
             Phase::Ended(Outcome::Cancelled) => {
                 self.done = true;
                 return None;
@@ -91,20 +91,20 @@
             Phase::Ended(_) => return Some(Err(Cut)),
             Phase::Waiting | Phase::Running => {}
         }
-        if self.next >= self.end() {
+        if self.next >= self.end_offset() {
             return Some(Ok(self.finish()));
         }
-        Some(Ok(self.token()))
+        Some(Ok(self.next_token()))
     }
 
-    /// Waits until the next event is due or the stream has ended.
-    async fn wait(&mut self) -> Phase {
+    /// Waits until the next event is due or the stream has ended; returns its phase.
+    async fn wait_for_event(&mut self) -> Phase {
         let phase = self.phase.wait_for(|&phase| phase != Phase::Waiting).await;
         let phase = phase.map_or(Phase::Ended(Outcome::Cut), |phase| *phase);
         if phase != Phase::Running {
             return phase;
         }
-        let due = self.due();
+        let due = self.next_due();
         let limit = self.limit.filter(|limit| limit.is_reached(self.next - self.order.offset));
         let mut ended = self.phase.clone();
         tokio::select! {
@@ -112,17 +112,17 @@
             ended = ended.wait_for(|&phase| phase != Phase::Running) => {
                 ended.map_or(Phase::Ended(Outcome::Cut), |phase| *phase)
             }
-            phase = self.go_on(due, limit) => phase,
+            phase = self.wait_until_due(due, limit) => phase,
         }
     }
 
-    async fn go_on(&self, due: Instant, limit: Option<Limit>) -> Phase {
+    async fn wait_until_due(&self, due: Instant, limit: Option<Limit>) -> Phase {
         match limit {
             Some(Limit::Stall(_)) => pending().await,
             Some(Limit::Cut(_)) => {
-                // Lets the connection write what it has before it ends.
+                // Lets the connection write the tokens sent so far before it closes.
                 actix_rt::task::yield_now().await;
-                self.state.borrow_mut().end(self.key, Outcome::Cut);
+                self.state.borrow_mut().end_stream(self.key, Outcome::Cut);
                 Phase::Ended(Outcome::Cut)
             }
             None if due > Instant::now() => {
@@ -133,39 +133,40 @@
         }
     }
 
-    /// When the next event is due. Tokens keep their pace from the first one
-    /// on, so a late wake-up delays one token and not all that follow.
-    fn due(&mut self) -> Instant {
-        let first = self.state.borrow().settings.first_token;
-        *self.due.get_or_insert_with(|| Instant::now() + first)
+    /// Returns when the next event is due. Due times are counted from the
+    /// first token, so a late wake-up delays one token and not all that follow.
+    fn next_due(&mut self) -> Instant {
+        let first_token = self.state.borrow().settings.first_token;
+        *self.due.get_or_insert_with(|| Instant::now() + first_token)
     }
 
-    /// Position after the last token.
-    fn end(&self) -> u32 {
-        let length = self.state.borrow().settings.max_tokens;
-        self.order.max_tokens.min(length)
+    /// Returns the offset after the last token.
+    fn end_offset(&self) -> u32 {
+        let max_tokens = self.state.borrow().settings.max_tokens;
+        self.order.max_tokens.min(max_tokens)
     }
 
-    fn token(&mut self) -> Bytes {
+    fn next_token(&mut self) -> Bytes {
         let offset = self.next;
         self.next += 1;
-        let gap = self.state.borrow().settings.token_interval;
-        self.due = self.due.map(|due| if self.next < self.end() { due + gap } else { due });
-        self.state.borrow_mut().generated(self.key);
+        let interval = self.state.borrow().settings.token_interval;
+        self.due =
+            self.due.map(|due| if self.next < self.end_offset() { due + interval } else { due });
+        self.state.borrow_mut().count_token(self.key);
         let text = token_text(&self.order.model, self.order.request_id, offset);
-        event(&self.chunk(text, offset, None, None)).into()
+        format_event(&self.chunk(text, offset, None, None)).into()
     }
 
     fn finish(&mut self) -> Bytes {
         self.done = true;
-        self.state.borrow_mut().end(self.key, Outcome::Finished);
-        let end = self.end().max(self.order.offset);
+        self.state.borrow_mut().end_stream(self.key, Outcome::Finished);
+        let end = self.end_offset().max(self.order.offset);
         let reason = if end >= self.order.max_tokens { "length" } else { "stop" };
         let prompt = prompt_tokens(&self.order);
         let usage =
             Usage { prompt_tokens: prompt, completion_tokens: end, total_tokens: prompt + end };
         let last = self.chunk(String::new(), end, Some(reason), Some(usage));
-        (event(&last) + DONE).into()
+        (format_event(&last) + DONE).into()
     }
 
     fn chunk(
@@ -192,7 +193,7 @@
     }
 }
 
-fn event(chunk: &Chunk) -> String {
+fn format_event(chunk: &Chunk) -> String {
     let json = serde_json::to_string(chunk).expect("a chunk has string keys");
     format!("data: {json}\n\n")
 }
--- a/kingcupbay_standin/src/objects.rs
+++ b/kingcupbay_standin/src/objects.rs
@@ -45,12 +45,12 @@
         Ok(Objects { server, state })
     }
 
-    /// The server under it.
+    /// Returns the HTTP server of this stand-in.
     pub fn server(&self) -> &Server {
         &self.server
     }
 
-    /// The server under it, to open its control address.
+    /// Returns the HTTP server mutably, to open its control address.
     pub fn server_mut(&mut self) -> &mut Server {
         &mut self.server
     }
--- a/kingcupbay_standin/src/registry.rs
+++ b/kingcupbay_standin/src/registry.rs
@@ -18,7 +18,7 @@
 use serde_with::{base64::Base64, serde_as};
 
 use crate::{
-    changes::{Changes, until},
+    changes::{Changes, wait_until},
     server::{
         Behaviour, Handler, Server,
         call::{self, Answer, Call},
@@ -64,7 +64,7 @@
         Ok(Registry { server, state })
     }
 
-    /// The server under it.
+    /// Returns the HTTP server of this stand-in.
     pub fn server(&self) -> &Server {
         &self.server
     }
@@ -166,7 +166,7 @@
             *self.delayed_feeds.borrow_mut().entry(table.clone()).or_default() += 1;
         }
         let changed =
-            until(self.changes.subscribe(), || !delayed && (!pending().is_empty() || lost()));
+            wait_until(self.changes.subscribe(), || !delayed && (!pending().is_empty() || lost()));
         // At the end of the wait the answer is empty.
         let _ = tokio::time::timeout(wait, changed).await;
         if lost() {
--- a/kingcupbay_standin/src/server/mod.rs
+++ b/kingcupbay_standin/src/server/mod.rs
@@ -28,7 +28,7 @@
     conn::{ConnId, Registry, Socket},
 };
 use crate::{
-    changes::until,
+    changes::wait_until,
     fault::{Fault, FaultOrder, FaultRules, Faults, Rule, RuleId},
 };
 
@@ -169,7 +169,7 @@
     async fn hit(&self, id: RuleId, hits: u32) {
         let faults = &self.behaviour.faults;
         let changes = faults.borrow().changes();
-        until(changes, || faults.borrow().faults().hits(id) >= hits).await;
+        wait_until(changes, || faults.borrow().faults().hits(id) >= hits).await;
     }
 
     fn set(&self, rule: Rule, from: Option<ConnId>) -> RuleId {
--- a/kingcupbay_standin/src/service.rs
+++ b/kingcupbay_standin/src/service.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    changes::{Changes, until},
+    changes::{Changes, wait_until},
     server::{
         Behaviour, Handler, Server,
         call::{self, Call},
@@ -67,12 +67,12 @@
         Ok(PlainService { server, state })
     }
 
-    /// The server under it.
+    /// Returns the HTTP server of this stand-in.
     pub fn server(&self) -> &Server {
         &self.server
     }
 
-    /// The server under it, to open its control address.
+    /// Returns the HTTP server mutably, to open its control address.
     pub fn server_mut(&mut self) -> &mut Server {
         &mut self.server
     }
@@ -85,7 +85,7 @@
     /// Waits until it has executed this many calls.
     pub async fn wait_for_executions(&self, total: u64) {
         let state = &self.state;
-        until(state.changes.subscribe(), || state.executions.borrow().total >= total).await;
+        wait_until(state.changes.subscribe(), || state.executions.borrow().total >= total).await;
     }
 }
 
--- a/kingcupbay_standin/src/upstream.rs
+++ b/kingcupbay_standin/src/upstream.rs
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 
 use crate::{
-    changes::{Changes, until},
+    changes::{Changes, wait_until},
     server::{
         Behaviour, Handler, Server,
         call::{self, Answer, Call},
@@ -161,7 +161,7 @@
         Ok(UpstreamServer { server, state })
     }
 
-    /// The server under it.
+    /// Returns the HTTP server of this stand-in.
     pub fn server(&self) -> &Server {
         &self.server
     }
@@ -181,13 +181,13 @@
     /// Waits until it has begun to run this many requests.
     pub async fn wait_for_runs(&self, count: usize) {
         let state = &self.state;
-        until(state.changes.subscribe(), || state.runs.borrow().len() >= count).await;
+        wait_until(state.changes.subscribe(), || state.runs.borrow().len() >= count).await;
     }
 
     /// Waits until this many callers have left a stream before its end.
     pub async fn wait_for_disconnects(&self, count: u32) {
         let state = &self.state;
-        until(state.changes.subscribe(), || state.left.get() >= count).await;
+        wait_until(state.changes.subscribe(), || state.left.get() >= count).await;
     }
 
     /// Identities of the streams that run.
