--- a/kingcupbay_standin/src/engine/state.rs
+++ b/kingcupbay_standin/src/engine/state.rs
@@ -162,7 +162,7 @@
         Ok((key, receiver))
     }
 
-    /// Counts a count_token token of a stream.
+    /// Counts a generated token of a stream.
     pub(crate) fn count_token(&mut self, key: StreamKey) {
         self.record.ran[key].tokens += 1;
         self.changes.notify();
--- a/kingcupbay_standin/src/fault.rs
+++ b/kingcupbay_standin/src/fault.rs
@@ -180,7 +180,7 @@
 }
 
 impl FaultRules {
-    pub(crate) fn set(&mut self, rule: Rule) -> RuleId {
+    pub(crate) fn add(&mut self, rule: Rule) -> RuleId {
         let id = self.next;
         self.next += 1;
         self.faults.rules.insert(id, RuleStatus { rule, seen: 0, hits: 0 });
--- a/kingcupbay_standin/src/server/admin.rs
+++ b/kingcupbay_standin/src/server/admin.rs
@@ -1,4 +1,4 @@
-//! Requests of tests to the server itself, which no fault touches.
+//! Requests of tests to the server itself, which faults do not affect.
 
 use actix_http::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -10,14 +10,14 @@
 };
 use crate::fault::{FaultOrder, RuleId};
 
-/// Path that sets and shows faults.
+/// Path that sets and lists fault rules.
 pub(crate) const FAULT: &str = "/fault";
-/// Path that answers when a rule has hit so often: `?ID=HITS`.
+/// Path that answers once a rule has hit that often: `?ID=HITS`.
 pub(crate) const HIT: &str = "/fault/hit";
-/// Path that switches the recording of received bytes, and shows them.
+/// Path that switches the recording of received bytes, and returns them.
 pub(crate) const RECEIVED: &str = "/received";
 
-/// Paths of the stand-ins that only show what they recorded.
+/// Paths that only return the records of a stand-in.
 const RECORDS: [&str; 2] = ["/state", "/executions"];
 /// Path of the host list, which tests write and daemons read.
 const HOSTS: &str = "/hosts";
@@ -26,38 +26,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Recording {
-    /// Whether to record from now on.
+    /// Whether received bytes are recorded from now on.
     pub(crate) on: bool,
 }
 
-/// Answers what concerns the server; the rest goes to the stand-in.
+/// Answers requests to the server itself and passes the others to the stand-in.
 pub(super) async fn answer(shared: &Shared, call: Call) -> Answer {
     match (&call.method, call.path.as_str()) {
-        (&Method::POST, FAULT) => order(shared, &call).unwrap_or_else(|refusal| refusal),
+        (&Method::POST, FAULT) => apply_order(shared, &call).unwrap_or_else(|refusal| refusal),
         (&Method::GET, FAULT) => call::json(shared.behaviour.faults.borrow().faults()),
-        (&Method::GET, HIT) => hit(shared, &call).await,
-        (&Method::PUT, RECEIVED) => record(shared, &call).unwrap_or_else(|refusal| refusal),
-        (&Method::GET, RECEIVED) => call::bytes(shared.registry.received().concat().into()),
+        (&Method::GET, HIT) => wait_for_hits(shared, &call).await,
+        (&Method::PUT, RECEIVED) => set_recording(shared, &call).unwrap_or_else(|refusal| refusal),
+        (&Method::GET, RECEIVED) => call::bytes(shared.connections.received().concat().into()),
         _ if is_exempt(&call) => (shared.behaviour.answer)(call).await,
         _ => fault::answer(shared, call).await,
     }
 }
 
+/// Returns whether faults do not apply to a call.
 fn is_exempt(call: &Call) -> bool {
     let record = call.method == Method::GET && RECORDS.contains(&call.path.as_str());
     let hosts = call.method == Method::PUT && call.path.starts_with(HOSTS);
     call.conn.is_control() || record || hosts
 }
 
-fn order(shared: &Shared, call: &Call) -> Result<Answer, Answer> {
+fn apply_order(shared: &Shared, call: &Call) -> Result<Answer, Answer> {
     let order: FaultOrder = call.json()?;
-    match shared.order(order, Some(call.conn.id())) {
+    match shared.apply(order, Some(call.conn.id())) {
         Some(id) => Ok(call::json(&id)),
         None => Ok(call::json(&())),
     }
 }
 
-async fn hit(shared: &Shared, call: &Call) -> Answer {
+async fn wait_for_hits(shared: &Shared, call: &Call) -> Answer {
     let parse = |query: &str| {
         let (id, hits) = query.split_once('=')?;
         Some((RuleId(id.parse().ok()?), hits.parse().ok()?))
@@ -65,12 +66,12 @@
     let Some((id, hits)) = parse(&call.query) else {
         return call::text(StatusCode::BAD_REQUEST, "the query is ID=HITS");
     };
-    shared.hit(id, hits).await;
+    shared.wait_for_hits(id, hits).await;
     call::json(&())
 }
 
-fn record(shared: &Shared, call: &Call) -> Result<Answer, Answer> {
+fn set_recording(shared: &Shared, call: &Call) -> Result<Answer, Answer> {
     let recording: Recording = call.json()?;
-    shared.registry.record(recording.on);
+    shared.connections.set_recording(recording.on);
     Ok(call::empty(StatusCode::OK))
 }
--- a/kingcupbay_standin/src/server/call.rs
+++ b/kingcupbay_standin/src/server/call.rs
@@ -1,4 +1,4 @@
-//! One request, read whole, and the ways to answer it.
+//! A request with its whole body, and helpers that build answers.
 
 use std::rc::Rc;
 
@@ -14,24 +14,25 @@
 
 use super::conn::Conn;
 
-/// Longest body taken: a configuration snapshot of the largest user fits.
-const BODY_MAX: usize = 256 << 20;
+/// Longest accepted body. The configuration snapshot of the largest user fits.
+const MAX_BODY_BYTES: usize = 256 << 20;
 
 /// The answer to a [`Call`].
 pub(crate) type Answer = Response<BoxBody>;
 
-/// A request whose body has arrived whole.
+/// A request whose body has been received completely.
 pub(crate) struct Call {
     pub(crate) method: Method,
     pub(crate) path: String,
     pub(crate) query: String,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// The connection it came on.
+    /// The connection that it arrived on.
     pub(crate) conn: Rc<Conn>,
 }
 
 impl Call {
+    /// Receives the whole body of a request; fails with the answer that refuses it.
     pub(crate) async fn receive(mut request: Request) -> Result<Call, Answer> {
         let conn = request
             .conn_data::<Rc<Conn>>()
@@ -41,7 +42,7 @@
         let mut body = BytesMut::new();
         while let Some(part) = payload.next().await {
             let part = part.map_err(|err: PayloadError| text(StatusCode::BAD_REQUEST, &err))?;
-            if body.len() + part.len() > BODY_MAX {
+            if body.len() + part.len() > MAX_BODY_BYTES {
                 return Err(text(StatusCode::PAYLOAD_TOO_LARGE, "body too large"));
             }
             body.extend_from_slice(&part);
@@ -57,18 +58,18 @@
         })
     }
 
-    /// The body as JSON, or the answer that refuses it.
+    /// Parses the body as JSON; fails with the answer that refuses the request.
     pub(crate) fn json<T: DeserializeOwned>(&self) -> Result<T, Answer> {
         serde_json::from_slice(&self.body).map_err(|err| text(StatusCode::BAD_REQUEST, &err))
     }
 }
 
-/// 200 with a JSON body.
+/// Builds a 200 answer with a JSON body.
 pub(crate) fn json(value: &impl Serialize) -> Answer {
     status_json(StatusCode::OK, value)
 }
 
-/// A JSON body with another status.
+/// Builds an answer with a JSON body and the given status.
 pub(crate) fn status_json(status: StatusCode, value: &impl Serialize) -> Answer {
     let body = serde_json::to_vec(value).expect("stand-in answers have string keys");
     Response::build(status)
@@ -77,17 +78,17 @@
         .map_into_boxed_body()
 }
 
-/// A refusal that says why.
-pub(crate) fn text(status: StatusCode, why: impl ToString) -> Answer {
-    Response::build(status).body(why.to_string()).map_into_boxed_body()
+/// Builds a refusal whose body gives the reason.
+pub(crate) fn text(status: StatusCode, reason: impl ToString) -> Answer {
+    Response::build(status).body(reason.to_string()).map_into_boxed_body()
 }
 
-/// An empty answer.
+/// Builds an answer with an empty body.
 pub(crate) fn empty(status: StatusCode) -> Answer {
     Response::with_body(status, BoxBody::new(()))
 }
 
-/// 200 with plain bytes.
+/// Builds a 200 answer with a body of plain bytes.
 pub(crate) fn bytes(body: Bytes) -> Answer {
     Response::build(StatusCode::OK)
         .insert_header((header::CONTENT_TYPE, "application/octet-stream"))
@@ -95,7 +96,7 @@
         .map_into_boxed_body()
 }
 
-/// 200 with server-sent events.
+/// Builds a 200 answer with server-sent events.
 pub(crate) fn events(body: impl MessageBody + 'static) -> Answer {
     Response::build(StatusCode::OK)
         .insert_header((header::CONTENT_TYPE, "text/event-stream"))
@@ -105,7 +106,7 @@
         .map_into_boxed_body()
 }
 
-/// The answer to a path or method that is not served.
+/// Builds the answer to a path or method that is not served.
 pub(crate) fn unknown() -> Answer {
     text(StatusCode::NOT_FOUND, "no such path or method")
 }
--- a/kingcupbay_standin/src/server/conn.rs
+++ b/kingcupbay_standin/src/server/conn.rs
@@ -1,4 +1,4 @@
-//! Accepted connections: registry, recording of what they received, and the
+//! Accepted connections, the recording of the bytes they received, and the
 //! switches that freeze or reset them.
 
 use std::{
@@ -16,19 +16,19 @@
     task::AbortHandle,
 };
 
-/// Number of a connection, in the order of acceptance.
+/// Number of a connection, in order of acceptance.
 pub(crate) type ConnId = u64;
 
 /// State of one accepted connection, shared by its socket and its requests.
 pub(crate) struct Conn {
     id: ConnId,
-    /// Accepted on the control address; no fault touches it.
+    /// Accepted on the control address, where no fault applies.
     control: bool,
-    /// Nothing is read or written any more, and the peer is not told.
+    /// Reads and writes stay pending; the peer is not notified.
     frozen: Cell<bool>,
-    /// The next read or write fails, which ends the connection.
+    /// The next read or write fails, which closes the connection.
     reset: Cell<bool>,
-    /// Woken when `reset` is set, because a silent peer never wakes it.
+    /// Waker of the pending read. A reset wakes it, as a silent peer does not.
     waker: RefCell<Option<Waker>>,
 }
 
@@ -48,7 +48,8 @@
         }
     }
 
-    fn check(&self) -> Poll<io::Result<()>> {
+    /// Returns an error if the connection was reset, and `Pending` if it is frozen.
+    fn check_switches(&self) -> Poll<io::Result<()>> {
         if self.reset.get() {
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
@@ -56,27 +57,27 @@
     }
 }
 
-struct Entry {
+struct OpenConn {
     conn: Rc<Conn>,
     task: Option<AbortHandle>,
 }
 
-/// All open connections of one server, and what it received.
+/// All open connections of one server, and the bytes it received.
 #[derive(Default)]
-pub(crate) struct Registry {
+pub(crate) struct Connections {
     next: Cell<ConnId>,
-    open: RefCell<BTreeMap<ConnId, Entry>>,
+    open: RefCell<BTreeMap<ConnId, OpenConn>>,
     recording: Cell<bool>,
-    /// Bytes received while recording, also of connections closed since.
+    /// Bytes received while recording, including those of closed connections.
     received: RefCell<BTreeMap<ConnId, Vec<u8>>>,
-    /// Streams of frozen connections whose task has ended. Closing them
-    /// would tell the peer what it must find out by itself.
-    silent: RefCell<Vec<TcpStream>>,
+    /// Streams of frozen connections whose task has ended. They stay open:
+    /// a close would notify the peer, which must detect the failure itself.
+    frozen_streams: RefCell<Vec<TcpStream>>,
 }
 
-impl Registry {
-    /// Takes a new connection in; it leaves when the socket is dropped.
-    pub(crate) fn admit(self: &Rc<Self>, stream: TcpStream, control: bool) -> Socket {
+impl Connections {
+    /// Adds a new connection, which is removed when its socket is dropped.
+    pub(crate) fn add(self: &Rc<Self>, stream: TcpStream, control: bool) -> Socket {
         let id = self.next.get();
         self.next.set(id + 1);
         let conn = Rc::new(Conn {
@@ -86,19 +87,19 @@
             reset: Cell::new(false),
             waker: RefCell::new(None),
         });
-        let entry = Entry { conn: Rc::clone(&conn), task: None };
+        let entry = OpenConn { conn: Rc::clone(&conn), task: None };
         self.open.borrow_mut().insert(id, entry);
-        Socket { stream: Some(stream), conn, registry: Rc::clone(self) }
+        Socket { stream: Some(stream), conn, connections: Rc::clone(self) }
     }
 
-    /// Remembers the task that serves a connection, for [`Registry::abort`].
-    pub(crate) fn served_by(&self, id: ConnId, task: AbortHandle) {
+    /// Stores the task that serves a connection, for [`Connections::abort_all`].
+    pub(crate) fn set_task(&self, id: ConnId, task: AbortHandle) {
         if let Some(entry) = self.open.borrow_mut().get_mut(&id) {
             entry.task = Some(task);
         }
     }
 
-    pub(crate) fn record(&self, on: bool) {
+    pub(crate) fn set_recording(&self, on: bool) {
         self.recording.set(on);
     }
 
@@ -106,51 +107,51 @@
         self.received.borrow().values().cloned().collect()
     }
 
-    /// Freezes every connection that is open now, but for `spared`.
-    pub(crate) fn freeze(&self, spared: Option<ConnId>) {
-        self.others(spared).for_each(|conn| conn.frozen.set(true));
+    /// Freezes every connection open now except `except` and control connections.
+    pub(crate) fn freeze_all(&self, except: Option<ConnId>) {
+        self.affected(except).for_each(|conn| conn.frozen.set(true));
     }
 
-    /// Resets every connection that is open now, but for `spared`.
-    pub(crate) fn reset(&self, spared: Option<ConnId>) {
-        self.others(spared).for_each(|conn| conn.reset());
+    /// Resets every connection open now except `except` and control connections.
+    pub(crate) fn reset_all(&self, except: Option<ConnId>) {
+        self.affected(except).for_each(|conn| conn.reset());
     }
 
-    /// Number of open connections.
+    /// Returns the number of open connections.
     pub(crate) fn len(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Ends the tasks of all connections.
-    pub(crate) fn abort(&self) {
+    /// Aborts the tasks of all connections.
+    pub(crate) fn abort_all(&self) {
         let tasks: Vec<_> =
             self.open.borrow().values().filter_map(|entry| entry.task.clone()).collect();
         tasks.iter().for_each(AbortHandle::abort);
     }
 
-    fn others(&self, spared: Option<ConnId>) -> impl Iterator<Item = Rc<Conn>> + use<> {
+    fn affected(&self, except: Option<ConnId>) -> impl Iterator<Item = Rc<Conn>> + use<> {
         let open = self.open.borrow();
         let conns: Vec<_> = open
             .values()
             .map(|entry| Rc::clone(&entry.conn))
-            .filter(|conn| !conn.control && Some(conn.id) != spared)
+            .filter(|conn| !conn.control && Some(conn.id) != except)
             .collect();
         conns.into_iter()
     }
 
-    fn keep(&self, id: ConnId, bytes: &[u8]) {
+    fn record_received(&self, id: ConnId, bytes: &[u8]) {
         if self.recording.get() {
             self.received.borrow_mut().entry(id).or_default().extend_from_slice(bytes);
         }
     }
 }
 
-/// A TCP stream under the switches of its [`Conn`].
+/// A TCP stream that obeys the switches of its [`Conn`].
 pub(crate) struct Socket {
-    /// Invariant: `None` only while it is dropped.
+    /// Invariant: `None` only during drop.
     stream: Option<TcpStream>,
     conn: Rc<Conn>,
-    registry: Rc<Registry>,
+    connections: Rc<Connections>,
 }
 
 impl Socket {
@@ -165,9 +166,9 @@
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        self.registry.open.borrow_mut().remove(&self.conn.id);
-        let silent = self.stream.take().filter(|_| self.conn.frozen.get());
-        self.registry.silent.borrow_mut().extend(silent);
+        self.connections.open.borrow_mut().remove(&self.conn.id);
+        let frozen = self.stream.take().filter(|_| self.conn.frozen.get());
+        self.connections.frozen_streams.borrow_mut().extend(frozen);
     }
 }
 
@@ -178,10 +179,10 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         self.conn.waker.replace(Some(cx.waker().clone()));
-        std::task::ready!(self.conn.check())?;
+        std::task::ready!(self.conn.check_switches())?;
         let start = buf.filled().len();
         std::task::ready!(self.stream().poll_read(cx, buf))?;
-        self.registry.keep(self.conn.id, &buf.filled()[start..]);
+        self.connections.record_received(self.conn.id, &buf.filled()[start..]);
         Poll::Ready(Ok(()))
     }
 }
@@ -192,17 +193,17 @@
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        std::task::ready!(self.conn.check())?;
+        std::task::ready!(self.conn.check_switches())?;
         self.stream().poll_write(cx, bytes)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        std::task::ready!(self.conn.check())?;
+        std::task::ready!(self.conn.check_switches())?;
         self.stream().poll_flush(cx)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        std::task::ready!(self.conn.check())?;
+        std::task::ready!(self.conn.check_switches())?;
         self.stream().poll_shutdown(cx)
     }
 }
--- a/kingcupbay_standin/src/server/fault.rs
+++ b/kingcupbay_standin/src/server/fault.rs
@@ -1,4 +1,4 @@
-//! A request's way through the faults in force.
+//! Applies the fault rules in force to a request.
 
 use std::{future::pending, rc::Rc, time::Duration};
 
@@ -11,35 +11,35 @@
 };
 use crate::fault::Fault;
 
-/// What the rules that hit one request make of it together.
+/// Combined effect of all rules that hit one request.
 #[derive(Default)]
-struct Plan {
-    before: Duration,
-    instead: Option<Instead>,
-    after: Duration,
-    error: bool,
-    lost: bool,
+struct FaultPlan {
+    delay_before: Duration,
+    failure: Option<Failure>,
+    delay_after: Duration,
+    error_answer: bool,
+    lose_answer: bool,
 }
 
-/// What happens instead of the request's effect.
-enum Instead {
+/// Failure that replaces the request's effect.
+enum Failure {
     Outage,
     Reset,
     Silent,
 }
 
-impl Plan {
-    fn new(faults: Vec<Fault>) -> Plan {
-        let mut plan = Plan::default();
+impl FaultPlan {
+    fn new(faults: Vec<Fault>) -> FaultPlan {
+        let mut plan = FaultPlan::default();
         for fault in faults {
             match fault {
-                Fault::Slow { millis } => plan.before += Duration::from_millis(millis),
-                Fault::LateAnswer { millis } => plan.after += Duration::from_millis(millis),
-                Fault::ErrorAnswer => plan.error = true,
-                Fault::LoseAnswer => plan.lost = true,
-                Fault::Outage => plan.instead = Some(Instead::Outage),
-                Fault::Reset => plan.instead = Some(Instead::Reset),
-                Fault::Silent => plan.instead = Some(Instead::Silent),
+                Fault::Slow { millis } => plan.delay_before += Duration::from_millis(millis),
+                Fault::LateAnswer { millis } => plan.delay_after += Duration::from_millis(millis),
+                Fault::ErrorAnswer => plan.error_answer = true,
+                Fault::LoseAnswer => plan.lose_answer = true,
+                Fault::Outage => plan.failure = Some(Failure::Outage),
+                Fault::Reset => plan.failure = Some(Failure::Reset),
+                Fault::Silent => plan.failure = Some(Failure::Silent),
                 _ => {}
             }
         }
@@ -47,8 +47,8 @@
     }
 }
 
-/// Whether a fault concerns requests as such; the others are the engine's.
-fn of_requests(fault: Fault) -> Option<Fault> {
+/// Selects the faults of requests; the engine handles the others itself.
+fn request_fault(fault: Fault) -> Option<Fault> {
     let is = matches!(
         fault,
         Fault::Slow { .. }
@@ -62,41 +62,43 @@
     is.then_some(fault)
 }
 
+/// Answers a call after the rules that hit it are applied.
 pub(super) async fn answer(shared: &Shared, call: Call) -> Answer {
-    let hits = shared.behaviour.faults.borrow_mut().hit(&call.path, of_requests);
-    let plan = Plan::new(hits);
+    let hits = shared.behaviour.faults.borrow_mut().hit(&call.path, request_fault);
+    let plan = FaultPlan::new(hits);
     let conn = call.conn.clone();
-    if plan.instead.is_some() {
-        pause(plan.before).await;
+    if plan.failure.is_some() {
+        delay(plan.delay_before).await;
     }
-    match plan.instead {
-        Some(Instead::Outage) => {
+    match plan.failure {
+        Some(Failure::Outage) => {
             return call::text(StatusCode::SERVICE_UNAVAILABLE, "outage");
         }
-        Some(Instead::Reset) => {
+        Some(Failure::Reset) => {
             conn.reset();
             return pending().await;
         }
-        Some(Instead::Silent) => return pending().await,
+        Some(Failure::Silent) => return pending().await,
         None => {}
     }
-    let Some(answer) = take_effect(shared, plan.before, call).await else {
+    let Some(answer) = run_handler(shared, plan.delay_before, call).await else {
         return pending().await;
     };
-    pause(plan.after).await;
-    if plan.lost {
+    delay(plan.delay_after).await;
+    if plan.lose_answer {
         conn.reset();
         return pending().await;
     }
-    if plan.error {
+    if plan.error_answer {
         return call::text(StatusCode::INTERNAL_SERVER_ERROR, "error");
     }
     answer
 }
 
-/// A delayed request runs as a task of its own: it takes effect even when
-/// its caller, who cannot know, has given up. `None` when the thread ends.
-async fn take_effect(shared: &Shared, delay: Duration, call: Call) -> Option<Answer> {
+/// Runs the handler after a delay. A delayed request runs as its own task, so
+/// it takes effect even when its caller, who cannot know that, has given up.
+/// Returns `None` when the thread ends.
+async fn run_handler(shared: &Shared, delay: Duration, call: Call) -> Option<Answer> {
     let handler = Rc::clone(&shared.behaviour.answer);
     if delay.is_zero() {
         return Some(handler(call).await);
@@ -108,8 +110,9 @@
     actix_rt::spawn(delayed).await.ok()
 }
 
-/// No timer without a fault: it would cost every request a millisecond.
-async fn pause(time: Duration) {
+/// Sleeps for `time`. Sets no timer for zero, as a timer would cost every
+/// request a millisecond.
+async fn delay(time: Duration) {
     if !time.is_zero() {
         sleep(time).await;
     }
--- a/kingcupbay_standin/src/server/mod.rs
+++ b/kingcupbay_standin/src/server/mod.rs
@@ -1,10 +1,10 @@
-//! The HTTP server under every stand-in.
+//! HTTP server that every stand-in uses.
 //!
-//! [`Server::start`] binds an address and accepts on it. Each connection is
-//! a [`conn::Socket`], driven by actix-http on the current thread. Each
-//! request is read whole ([`call`]); one that concerns the server itself is
-//! answered by [`admin`], the others meet the faults in force ([`fault`]) on
-//! their way to the stand-in.
+//! [`Server::start`] binds an address and accepts connections on it. Each
+//! connection is a [`conn::Socket`], driven by actix-http on the current
+//! thread. The body of each request is read completely ([`call`]). Requests
+//! to the server itself are answered by [`admin`]; the others pass through
+//! the fault rules in force ([`fault`]) to the stand-in.
 
 use std::{
     cell::RefCell,
@@ -25,7 +25,7 @@
 
 use self::{
     call::{Answer, Call},
-    conn::{ConnId, Registry, Socket},
+    conn::{ConnId, Connections, Socket},
 };
 use crate::{
     changes::wait_until,
@@ -37,13 +37,13 @@
 mod conn;
 mod fault;
 
-/// Connections the kernel holds until they are accepted.
-const BACKLOG: u32 = 1024;
+/// Most connections that the kernel queues until they are accepted.
+const MAX_PENDING_CONNECTIONS: u32 = 1024;
 
-/// What a stand-in does with a request.
+/// Answers the requests of a stand-in.
 pub(crate) type Handler = Rc<dyn Fn(Call) -> LocalBoxFuture<'static, Answer>>;
 
-/// What makes a server one stand-in or another.
+/// Behaviour of a stand-in: fault rules, request handler and restart.
 pub(crate) struct Behaviour {
     pub(crate) faults: Rc<RefCell<FaultRules>>,
     pub(crate) answer: Handler,
@@ -51,90 +51,91 @@
 }
 
 impl Behaviour {
-    /// Answers requests and keeps its state through a restart.
+    /// Creates a behaviour whose state survives a restart.
     pub(crate) fn new(answer: Handler) -> Behaviour {
         Behaviour { faults: Rc::default(), answer, restart: Rc::new(|| ()) }
     }
 }
 
-/// A running server; dropping it closes its port and all its connections
+/// A running server. Dropping it closes its port and all its connections
 /// as soon as the thread runs its other tasks.
 pub struct Server {
     address: SocketAddr,
     shared: Rc<Shared>,
-    /// Keeps the port ours while no listener is open on it: bound, but not
+    /// Reserves the port while no listener is open on it: bound but not
     /// listening, so that connections are refused.
     _port: TcpSocket,
     accept: Vec<JoinHandle<()>>,
 }
 
-/// What the server's handle, accept loops and requests share.
+/// State shared by the server's handle, its accept loops and its requests.
 pub(crate) struct Shared {
-    registry: Rc<Registry>,
+    connections: Rc<Connections>,
     behaviour: Behaviour,
     /// Whether the port refuses connections.
     refuses: watch::Sender<bool>,
 }
 
 impl Server {
-    /// Binds `address` (port 0: the kernel chooses) and serves it on the
-    /// current thread. Fails when the address cannot be bound.
+    /// Binds `address` (with port 0 the kernel chooses the port) and serves it
+    /// on the current thread. Fails when the address cannot be bound.
     pub(crate) fn start(address: SocketAddr, behaviour: Behaviour) -> io::Result<Server> {
         let refuses = watch::Sender::new(false);
-        let shared = Rc::new(Shared { registry: Rc::default(), behaviour, refuses });
-        let port = reserve(address)?;
+        let shared = Rc::new(Shared { connections: Rc::default(), behaviour, refuses });
+        let port = reserve_port(address)?;
         let address = port.local_addr()?;
         let listener = listen(address)?;
-        let accept = actix_rt::spawn(accept(Rc::clone(&shared), address, listener));
+        let accept = actix_rt::spawn(accept_connections(Rc::clone(&shared), address, listener));
         Ok(Server { address, shared, _port: port, accept: vec![accept] })
     }
 
-    /// Serves `address` as well, out of reach of every fault, so that a
-    /// fault on the first address can always be cleared. The bound address.
+    /// Also serves `address`, where no fault applies, so that a fault on the
+    /// first address can always be cleared. Returns the bound address; fails
+    /// when it cannot be bound.
     pub fn open_control(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
-        let listener = TcpListener::from_std(bind_alone(address)?)?;
+        let listener = TcpListener::from_std(bind_exclusive(address)?)?;
         let address = listener.local_addr()?;
         let shared = Rc::clone(&self.shared);
         self.accept.push(actix_rt::spawn(accept_control(shared, listener)));
         Ok(address)
     }
 
-    /// The bound address.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Number of open connections.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
-        self.shared.registry.len()
+        self.shared.connections.len()
     }
 
-    /// Switches the recording of every byte received.
+    /// Switches the recording of all received bytes on or off.
     pub fn set_recording(&self, on: bool) {
-        self.shared.registry.record(on);
+        self.shared.connections.set_recording(on);
     }
 
-    /// The bytes received while recording, one item for each connection.
+    /// Returns the bytes received while recording, one item per connection.
     pub fn received(&self) -> Vec<Vec<u8>> {
-        self.shared.registry.received()
+        self.shared.connections.received()
     }
 
-    /// Puts a rule in force.
+    /// Adds a fault rule and returns its id.
     pub fn add_rule(&self, rule: Rule) -> RuleId {
-        self.shared.set(rule, None)
+        self.shared.add_rule(rule, None)
     }
 
-    /// Carries out any order on faults.
+    /// Carries out an order on faults.
     pub fn apply(&self, order: FaultOrder) {
-        self.shared.order(order, None);
+        self.shared.apply(order, None);
     }
 
-    /// Waits until a rule has hit this often.
+    /// Waits until a rule has hit at least this often.
     pub async fn wait_for_hits(&self, id: RuleId, hits: u32) {
-        self.shared.hit(id, hits).await;
+        self.shared.wait_for_hits(id, hits).await;
     }
 
-    /// The rules that are not cleared, with their hits.
+    /// Returns the rules that are not cleared, with their hits.
     pub fn faults(&self) -> Faults {
         self.shared.behaviour.faults.borrow().faults().clone()
     }
@@ -143,22 +144,22 @@
 impl Drop for Server {
     fn drop(&mut self) {
         self.accept.iter().for_each(JoinHandle::abort);
-        self.shared.registry.abort();
+        self.shared.connections.abort_all();
     }
 }
 
 impl Shared {
-    /// Carries out an order that came on connection `from`, which stays
-    /// usable for its answer. The new rule's id.
-    fn order(&self, order: FaultOrder, from: Option<ConnId>) -> Option<RuleId> {
+    /// Carries out an order that arrived on connection `from`, which stays
+    /// usable for the answer. Returns the id of a new rule.
+    fn apply(&self, order: FaultOrder, from: Option<ConnId>) -> Option<RuleId> {
         let faults = &self.behaviour.faults;
         match order {
-            FaultOrder::Set(rule) => return Some(self.set(rule, from)),
+            FaultOrder::Set(rule) => return Some(self.add_rule(rule, from)),
             FaultOrder::Clear(id) => faults.borrow_mut().clear(id),
             FaultOrder::ClearAll => faults.borrow_mut().clear_all(),
-            FaultOrder::Freeze => self.registry.freeze(from),
+            FaultOrder::Freeze => self.connections.freeze_all(from),
             FaultOrder::Restart => {
-                self.registry.reset(from);
+                self.connections.reset_all(from);
                 (self.behaviour.restart)();
             }
         }
@@ -166,57 +167,59 @@
         None
     }
 
-    async fn hit(&self, id: RuleId, hits: u32) {
+    async fn wait_for_hits(&self, id: RuleId, hits: u32) {
         let faults = &self.behaviour.faults;
         let changes = faults.borrow().changes();
         wait_until(changes, || faults.borrow().faults().hits(id) >= hits).await;
     }
 
-    fn set(&self, rule: Rule, from: Option<ConnId>) -> RuleId {
+    fn add_rule(&self, rule: Rule, from: Option<ConnId>) -> RuleId {
         let refuses = rule.fault == Fault::Refuse;
-        let id = self.behaviour.faults.borrow_mut().set(rule);
+        let id = self.behaviour.faults.borrow_mut().add(rule);
         if refuses {
             self.refuses.send_replace(true);
-            self.registry.reset(from);
+            self.connections.reset_all(from);
         }
         id
     }
 }
 
-/// Binds without listening. The probe finds an address already in use, which
-/// port sharing would hide: two stand-ins would then split the connections.
-/// It finds this very socket too, as that one does not allow address reuse.
-fn reserve(address: SocketAddr) -> io::Result<TcpSocket> {
+/// Binds an address without listening. A probe without port sharing first
+/// detects an address in use: with port sharing alone, two stand-ins could
+/// bind it and split its connections. The probe of a second stand-in also
+/// detects this reservation, because the reserved socket does not allow
+/// address reuse.
+fn reserve_port(address: SocketAddr) -> io::Result<TcpSocket> {
     if address.port() != 0 {
         drop(StdListener::bind(address)?);
     }
-    let port = socket(address)?;
+    let port = shared_port_socket(address)?;
     port.bind(address)?;
     Ok(port)
 }
 
-/// Listens beside the reserved port. Address reuse is for what is left of
-/// earlier connections: they must not keep a successor off the port.
+/// Listens on the reserved port. Address reuse is set because remains of
+/// earlier connections must not prevent a new listener from binding the port.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let listener = socket(address)?;
+    let listener = shared_port_socket(address)?;
     listener.set_reuseaddr(true)?;
     listener.bind(address)?;
-    listener.listen(BACKLOG)
+    listener.listen(MAX_PENDING_CONNECTIONS)
 }
 
-fn socket(address: SocketAddr) -> io::Result<TcpSocket> {
+fn shared_port_socket(address: SocketAddr) -> io::Result<TcpSocket> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseport(true)?;
     Ok(socket)
 }
 
-fn bind_alone(address: SocketAddr) -> io::Result<StdListener> {
+fn bind_exclusive(address: SocketAddr) -> io::Result<StdListener> {
     let listener = StdListener::bind(address)?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-async fn accept(shared: Rc<Shared>, address: SocketAddr, listener: TcpListener) {
+async fn accept_connections(shared: Rc<Shared>, address: SocketAddr, listener: TcpListener) {
     let mut refuses = shared.refuses.subscribe();
     let mut listener = Some(listener);
     loop {
@@ -227,44 +230,44 @@
         }
         tokio::select! {
             biased;
-            // Never an error: the sender lives in `shared`.
+            // Never an error: `shared` owns the sender.
             _ = refuses.changed() => {}
-            stream = next(listener.as_ref()) => open(&shared, stream, false),
+            stream = next_connection(listener.as_ref()) => start_serving(&shared, stream, false),
         }
     }
 }
 
 async fn accept_control(shared: Rc<Shared>, listener: TcpListener) {
     loop {
-        let stream = next(Some(&listener)).await;
-        open(&shared, stream, true);
+        let stream = next_connection(Some(&listener)).await;
+        start_serving(&shared, stream, true);
     }
 }
 
-/// The next connection; never one without a listener.
-async fn next(listener: Option<&TcpListener>) -> TcpStream {
+/// Accepts the next connection; waits forever without a listener.
+async fn next_connection(listener: Option<&TcpListener>) -> TcpStream {
     let Some(listener) = listener else {
         return std::future::pending().await;
     };
     loop {
-        // An error here concerns the one connection that was not accepted.
+        // An error here concerns only the connection that was not accepted.
         if let Ok((stream, _)) = listener.accept().await {
             return stream;
         }
     }
 }
 
-fn open(shared: &Rc<Shared>, stream: TcpStream, control: bool) {
-    // Tokens are small writes; without this they would wait for each other.
+fn start_serving(shared: &Rc<Shared>, stream: TcpStream, control: bool) {
+    // Tokens are small writes; Nagle's algorithm would make them wait for each other.
     let _ = stream.set_nodelay(true);
-    let socket = shared.registry.admit(stream, control);
+    let socket = shared.connections.add(stream, control);
     let id = socket.conn().id();
     let task = actix_rt::spawn(serve(Rc::clone(shared), socket));
-    shared.registry.served_by(id, task.abort_handle());
+    shared.connections.set_task(id, task.abort_handle());
 }
 
-/// Serves one connection to its end. A caller that closes its half is gone:
-/// its request is dropped, which cancels what it had asked for.
+/// Serves a connection until it closes. A caller that closes its half counts
+/// as disconnected: its request is dropped, which cancels its work.
 async fn serve(shared: Rc<Shared>, socket: Socket) {
     let service = HttpService::build()
         .keep_alive(KeepAlive::Os)
@@ -278,7 +281,7 @@
             async move { Ok::<_, Infallible>(answer(&shared, request).await) }
         });
     if let Ok(service) = service.new_service(()).await {
-        // A connection's end, however it came, concerns nobody else.
+        // An error concerns only this connection.
         let _ = service.call((socket, Protocol::Http1, None)).await;
     }
 }
