--- a/kingcupbay_standin/src/control.rs
+++ b/kingcupbay_standin/src/control.rs
@@ -1,4 +1,4 @@
-//! A test's side of the requests that set faults and show records.
+//! Client with which tests set faults and read records.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,11 +17,11 @@
     server::admin::{FAULT, HIT, RECEIVED, Recording},
 };
 
-/// Longest wait for an answer; the stand-in answers these at once.
-const TIMEOUT: Duration = Duration::from_secs(30);
+/// Longest wait for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest recording fetched.
-const RECEIVED_MAX: usize = 256 << 20;
+/// Longest answer that is read.
+const MAX_ANSWER_BYTES: usize = 256 << 20;
 
 /// Sets faults of one stand-in and reads what it recorded.
 pub struct Control {
@@ -29,29 +29,29 @@
     address: SocketAddr,
 }
 
-/// Why a [`Control`] got no answer.
+/// Reason why a [`Control`] got no usable answer.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum ControlError {
     /// The request was not answered.
     #[error("no answer: {0}")]
     Send(#[from] SendRequestError),
-    /// The answer is not the one expected.
+    /// The answer is not the expected JSON.
     #[error("answer cannot be read: {0}")]
     Json(#[from] JsonPayloadError),
-    /// The answer broke off.
-    #[error("answer broke off: {0}")]
+    /// The answer ended early.
+    #[error("answer ended early: {0}")]
     Body(#[from] PayloadError),
 }
 
 impl Control {
-    /// For the stand-in at `address`, better its control address.
+    /// Creates a client for the stand-in at `address`, preferably its control address.
     pub fn new(address: SocketAddr) -> Control {
-        let client = awc::Client::builder().timeout(TIMEOUT).finish();
+        let client = awc::Client::builder().timeout(ANSWER_TIMEOUT).finish();
         Control { client, address }
     }
 
-    /// Puts a rule in force.
+    /// Adds a fault rule and returns its id.
     pub async fn add_rule(&self, rule: Rule) -> Result<RuleId, ControlError> {
         self.post(&FaultOrder::Set(rule)).await
     }
@@ -66,7 +66,7 @@
         self.post(&FaultOrder::ClearAll).await
     }
 
-    /// Freezes for good the connections open now.
+    /// Freezes the connections open now permanently.
     pub async fn freeze(&self) -> Result<(), ControlError> {
         self.post(&FaultOrder::Freeze).await
     }
@@ -76,44 +76,44 @@
         self.post(&FaultOrder::Restart).await
     }
 
-    /// The rules not cleared, with their hits.
+    /// Returns the rules that are not cleared, with their hits.
     pub async fn faults(&self) -> Result<Faults, ControlError> {
         self.get(FAULT).await
     }
 
-    /// Waits until a rule has hit this often.
+    /// Waits until a rule has hit at least this often. Fails after 30 s.
     pub async fn wait_for_hits(&self, id: RuleId, hits: u32) -> Result<(), ControlError> {
         self.get(&format!("{HIT}?{}={hits}", id.0)).await
     }
 
-    /// What a stand-in recorded: `/state`, or `/executions` of a service.
+    /// Reads a record as JSON: `/state`, or `/executions` of a service.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, ControlError> {
         let mut answer = self.request(Method::GET, path).send().await?;
-        Ok(answer.json().limit(RECEIVED_MAX).await?)
+        Ok(answer.json().limit(MAX_ANSWER_BYTES).await?)
     }
 
-    /// Sets the truth of a host list, or of a platform's.
+    /// Sets the actual hosts of a host list or of a platform.
     pub async fn set_hosts(&self, hosts: &Hosts) -> Result<(), ControlError> {
         self.request(Method::PUT, "/hosts").send_json(hosts).await?;
         Ok(())
     }
 
-    /// Sets how long a host list shows the state before a change.
+    /// Sets how long a host list keeps showing the state before a change.
     pub async fn set_lag(&self, lag: Lag) -> Result<(), ControlError> {
         self.request(Method::PUT, "/hosts/lag").send_json(&lag).await?;
         Ok(())
     }
 
-    /// Switches the recording of every byte received.
+    /// Switches the recording of all received bytes on or off.
     pub async fn set_recording(&self, on: bool) -> Result<(), ControlError> {
         self.request(Method::PUT, RECEIVED).send_json(&Recording { on }).await?;
         Ok(())
     }
 
-    /// All bytes received while recording, connection by connection.
+    /// Returns all bytes received while recording, connection by connection.
     pub async fn received(&self) -> Result<Vec<u8>, ControlError> {
         let mut answer = self.request(Method::GET, RECEIVED).send().await?;
-        Ok(answer.body().limit(RECEIVED_MAX).await?.into())
+        Ok(answer.body().limit(MAX_ANSWER_BYTES).await?.into())
     }
 
     async fn post<T: DeserializeOwned>(&self, order: &impl Serialize) -> Result<T, ControlError> {
@@ -121,8 +121,8 @@
         Ok(answer.json().await?)
     }
 
-    /// On a connection of its own: one from a pool may have been frozen or
-    /// reset by the request before.
+    /// Builds a request on a new connection: a pooled one may have been frozen
+    /// or reset by the previous request.
     fn request(&self, method: Method, path: &str) -> ClientRequest {
         let url = format!("http://{}{path}", self.address);
         self.client.request(method, url).force_close()
--- a/kingcupbay_standin/src/fault.rs
+++ b/kingcupbay_standin/src/fault.rs
@@ -1,7 +1,7 @@
-//! Faults that a test switches on and off by request.
+//! Faults that a test switches on and off.
 //!
-//! A [`Rule`] stays in force until it is cleared or has hit as often as it
-//! says. Nothing here happens by chance.
+//! A [`Rule`] stays in force until it is cleared or has hit the number of
+//! times it allows. Nothing here is random.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 use crate::changes::Changes;
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -18,68 +18,68 @@
     /// The request has no effect and is answered 503.
     Outage,
     /// The port refuses connections, and open ones are reset, until cleared;
-    /// `path`, `skip` and `times` do not apply. Cleared by the handle or on
-    /// the control address.
+    /// `path`, `skip` and `times` do not apply. It can be cleared through the
+    /// handle or on the control address.
     Refuse,
-    /// The request takes effect this much later, also when its caller has
+    /// The request takes effect after this delay, even if its caller has
     /// given up by then.
     Slow {
         /// Milliseconds.
         millis: u64,
     },
-    /// The request takes effect at once and is answered this much later.
+    /// The request takes effect at once and is answered after this delay.
     LateAnswer {
         /// Milliseconds.
         millis: u64,
     },
-    /// The request takes effect, and its connection ends without an answer.
+    /// The request takes effect, and its connection is closed without an answer.
     LoseAnswer,
     /// The request takes effect and is answered 500.
     ErrorAnswer,
-    /// The request has no effect, and its connection ends without an answer.
+    /// The request has no effect, and its connection is closed without an answer.
     Reset,
-    /// The request has no effect and is never answered; its connection stays.
+    /// The request has no effect and is never answered; its connection stays open.
     Silent,
-    /// Engine: a load takes its time and then fails.
+    /// Engine: a load takes its usual time and then fails.
     FailLoads,
     /// Engine: a stream sends this many tokens and then nothing more; its
-    /// connection stays.
+    /// connection stays open.
     StallStreams {
         /// Tokens sent before.
         tokens: u32,
     },
-    /// Engine: a stream's connection ends after this many tokens.
+    /// Engine: a stream's connection is closed after this many tokens.
     CutStreams {
         /// Tokens sent before.
         tokens: u32,
     },
-    /// Engine: `/load` shows the state this long ago.
+    /// Engine: `/load` shows the state as it was this long ago.
     LagReports {
         /// Milliseconds.
         millis: u64,
     },
-    /// Engine: `/events` shows an event this long after it happened.
+    /// Engine: `/events` shows an event only this long after it happened.
     LagEvents {
         /// Milliseconds.
         millis: u64,
     },
-    /// Engine: an event takes its number but is never shown.
+    /// Engine: an event is numbered but never shown.
     LoseEvents,
 }
 
-/// A fault and the requests, loads, streams, reports or events it hits.
+/// A fault, and which requests, loads, streams, reports or events it hits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Rule {
-    /// What goes wrong.
+    /// The fault to cause.
     pub fault: Fault,
-    /// Hits only requests whose path starts with this.
+    /// Path prefix of the requests to hit; all paths when absent.
     #[serde(default)]
     pub path: Option<String>,
-    /// Lets this many pass first.
+    /// Number of matches to let pass first.
     #[serde(default)]
     pub skip: u32,
-    /// Hits this many; all until cleared when absent.
+    /// Number of matches to hit; all until cleared when absent.
     #[serde(default)]
     pub times: Option<u32>,
 }
@@ -89,35 +89,35 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultOrder {
-    /// Puts a rule in force; answered with its [`RuleId`].
+    /// Adds a rule; answered with its [`RuleId`].
     Set(Rule),
     /// Clears one rule.
     Clear(RuleId),
     /// Clears all rules.
     ClearAll,
-    /// Freezes the connections open now for good: nothing more is read or
-    /// written on them, and they are not closed. New ones work.
+    /// Freezes the connections open now permanently: nothing more is read or
+    /// written on them, and they are not closed. New connections work.
     Freeze,
     /// Resets the connections open now; an engine also restarts empty.
     Restart,
 }
 
-/// Names a rule until it is cleared.
+/// Id of a rule, valid until the rule is cleared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RuleId(pub u64);
 
-/// A rule in force, or spent.
+/// A rule that is in force or used up, with its counts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RuleStatus {
     /// The rule.
     pub rule: Rule,
-    /// Requests, loads, streams, reports or events it applied to, also those
-    /// it let pass.
+    /// Requests, loads, streams, reports or events that matched, including
+    /// those that it let pass.
     pub seen: u32,
-    /// Those it hit.
+    /// Matches that it hit.
     pub hits: u32,
 }
 
@@ -130,24 +130,24 @@
 }
 
 impl Rule {
-    /// A rule that hits everything until it is cleared.
+    /// Creates a rule that hits everything until it is cleared.
     pub fn new(fault: Fault) -> Rule {
         Rule { fault, path: None, skip: 0, times: None }
     }
 
-    /// Only requests whose path starts with `path`.
+    /// Limits the rule to requests whose path starts with `path`.
     pub fn path(mut self, path: &str) -> Rule {
         self.path = Some(path.to_owned());
         self
     }
 
-    /// Not the first `skip`.
+    /// Lets the first `skip` matches pass.
     pub fn skip(mut self, skip: u32) -> Rule {
         self.skip = skip;
         self
     }
 
-    /// Only `times` of them.
+    /// Limits the rule to `times` hits.
     pub fn times(mut self, times: u32) -> Rule {
         self.times = Some(times);
         self
@@ -155,23 +155,24 @@
 }
 
 impl RuleStatus {
-    fn hit(&mut self) -> bool {
+    /// Counts a match and returns whether the rule hits it.
+    fn count_match(&mut self) -> bool {
         self.seen = self.seen.saturating_add(1);
-        let spent = self.rule.times.is_some_and(|times| self.hits >= times);
-        let hit = self.seen > self.rule.skip && !spent;
+        let used_up = self.rule.times.is_some_and(|times| self.hits >= times);
+        let hit = self.seen > self.rule.skip && !used_up;
         self.hits += u32::from(hit);
         hit
     }
 }
 
 impl Faults {
-    /// Hits of one rule, 0 when it is cleared.
+    /// Returns the hits of a rule, 0 when it is cleared.
     pub fn hits(&self, id: RuleId) -> u32 {
         self.rules.get(&id.0).map_or(0, |status| status.hits)
     }
 }
 
-/// The rules of one server.
+/// The fault rules of one server.
 #[derive(Default)]
 pub(crate) struct FaultRules {
     next: u64,
@@ -203,13 +204,13 @@
         self.changes.subscribe()
     }
 
-    /// Whether the port refuses connections.
+    /// Returns whether the port refuses connections.
     pub(crate) fn refuses(&self) -> bool {
         self.faults.rules.values().any(|status| status.rule.fault == Fault::Refuse)
     }
 
-    /// Counts something that happens on `path` against the rules whose fault
-    /// `pick` knows; what `pick` made of those that hit it.
+    /// Counts a match on `path` for each rule whose fault `pick` selects.
+    /// Returns the values from `pick` of the rules that hit.
     pub(crate) fn hit<T>(&mut self, path: &str, pick: impl Fn(Fault) -> Option<T>) -> Vec<T> {
         let mut hits = Vec::new();
         for status in self.faults.rules.values_mut() {
@@ -217,7 +218,7 @@
             let Some(picked) = pick(status.rule.fault).filter(|_| on_path) else {
                 continue;
             };
-            if status.hit() {
+            if status.count_match() {
                 hits.push(picked);
             }
         }
--- a/kingcupbay_standin/src/hosts.rs
+++ b/kingcupbay_standin/src/hosts.rs
@@ -1,6 +1,8 @@
-//! The platform's list of live and leaving hosts: `GET /hosts`; `PUT /hosts`
-//! sets the truth and `PUT /hosts/lag` with `{"millis":N}` how long the list
-//! shows the state before it.
+//! Stand-in for the platform's list of live and leaving hosts.
+//!
+//! `GET /hosts` shows the list. `PUT /hosts` sets the actual hosts, and
+//! `PUT /hosts/lag` with `{"millis":N}` sets how long the list keeps showing
+//! the state before a change.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -22,7 +24,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Lag {
-    /// Milliseconds until a change shows.
+    /// Milliseconds until the list shows a change.
     pub millis: u64,
 }
 
@@ -32,14 +34,15 @@
     state: Rc<RefCell<State>>,
 }
 
-/// The list with its past.
+/// The list with its history.
 pub(crate) struct State {
     hosts: Lagged<Hosts>,
     lag: Duration,
 }
 
 impl HostList {
-    /// Starts an empty list without lag on `address`, on the current thread.
+    /// Starts an empty list without lag on `address`, on the current thread. Fails
+    /// when the address cannot be bound.
     pub fn start(address: SocketAddr) -> io::Result<HostList> {
         let state = Rc::default();
         let server = Server::start(address, Behaviour::new(handler(&state)))?;
@@ -56,17 +59,17 @@
         &mut self.server
     }
 
-    /// Sets the truth; the list shows it after the lag.
+    /// Sets the actual hosts; the list shows them after the lag.
     pub fn set(&self, hosts: Hosts) {
         self.state.borrow_mut().set(hosts);
     }
 
-    /// Sets how long the list shows the state before a change.
+    /// Sets how long the list keeps showing the state before a change.
     pub fn set_lag(&self, lag: Duration) {
         self.state.borrow_mut().set_lag(lag);
     }
 
-    /// The list as it shows now.
+    /// Returns the hosts that the list shows now.
     pub fn shown(&self) -> Hosts {
         self.state.borrow().shown()
     }
@@ -102,7 +105,7 @@
     })
 }
 
-/// The answer to a request for the list, `None` when it is not for it.
+/// Answers a request for the list; returns `None` for any other request.
 pub(crate) fn answer(state: &RefCell<State>, call: &Call) -> Option<Answer> {
     let answer = match (&call.method, call.path.as_str()) {
         (&Method::GET, "/hosts") => Ok(call::json(&state.borrow().shown())),
--- a/kingcupbay_standin/src/lagged.rs
+++ b/kingcupbay_standin/src/lagged.rs
@@ -4,15 +4,15 @@
 
 use tokio::time::Instant;
 
-/// Longest lag that can be asked for.
-const LAG_MAX: Duration = Duration::from_secs(600);
+/// Longest lag for which history is kept.
+const MAX_LAG: Duration = Duration::from_secs(600);
 
-/// Most earlier values kept; beyond it the oldest are forgotten.
-const KEPT_MAX: usize = 4096;
+/// Most values kept; beyond it the oldest are dropped.
+const MAX_HISTORY: usize = 4096;
 
 /// The history of a value.
 pub(crate) struct Lagged<T> {
-    /// Invariant: never empty, in the order of time.
+    /// Invariant: never empty, in order of time.
     history: VecDeque<(Instant, T)>,
 }
 
@@ -23,13 +23,13 @@
 
     pub(crate) fn set(&mut self, now: Instant, value: T) {
         self.history.push_back((now, value));
-        while self.history.len() > KEPT_MAX || self.is_past(1, now, LAG_MAX) {
+        while self.history.len() > MAX_HISTORY || self.is_past(1, now, MAX_LAG) {
             self.history.pop_front();
         }
     }
 
-    /// The value as it was `lag` ago; the oldest known one when that is
-    /// before the history begins.
+    /// Returns the value as it was `lag` ago, or the oldest known one if the
+    /// history begins later.
     pub(crate) fn shown(&self, now: Instant, lag: Duration) -> &T {
         let mut index = self.history.len() - 1;
         while index > 0 && !self.is_past(index, now, lag) {
--- a/kingcupbay_standin/src/lib.rs
+++ b/kingcupbay_standin/src/lib.rs
@@ -1,19 +1,20 @@
 //! Stand-ins for the platform, the engines and the plain services.
 //!
-//! Each binds an address and serves it on the current actix-rt thread; its
-//! handle gives typed access to what it recorded, and stops it when dropped.
-//! The binary runs the same ones as processes of their own. Faults are set
-//! through the handle's [`Server`], or by request with a [`Control`].
+//! Each binds an address and serves it on the current actix-rt thread. Its
+//! handle gives typed access to what it recorded and stops it when dropped.
+//! The binary runs each of them as a separate process. Faults are set through
+//! the handle's [`Server`], or over HTTP with a [`Control`].
 //!
-//! Beside its own interface each answers, untouched by any fault:
+//! Besides its own interface, each answers these requests, to which no fault
+//! applies:
 //!
 //! | request | answer |
 //! | --- | --- |
 //! | `POST /fault` with a [`FaultOrder`] | the [`RuleId`] of a new rule |
 //! | `GET /fault` | [`Faults`] |
-//! | `GET /fault/hit?ID=HITS` | when that rule has hit so often |
-//! | `PUT /received` with `{"on":true}` | switches the recording of bytes |
-//! | `GET /received` | all bytes recorded |
+//! | `GET /fault/hit?ID=HITS` | once that rule has hit that often |
+//! | `PUT /received` with `{"on":true}` | starts recording received bytes |
+//! | `GET /received` | all recorded bytes |
 //! | `GET /state` | its record; the host list and services have none |
 //! | `GET /executions` | [`ExecutionCounts`]: the record of a plain service |
 
--- a/kingcupbay_standin/src/main.rs
+++ b/kingcupbay_standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own.
+//! Runs one stand-in as a separate process.
 
 use std::{
     io,
@@ -26,7 +26,7 @@
 #[derive(Args)]
 struct Addresses {
     /// Address to serve; with port 0 the kernel chooses one.
-    #[arg(long, global = true, value_name = "IP:PORT", default_value_t = any())]
+    #[arg(long, global = true, value_name = "IP:PORT", default_value_t = any_port())]
     listen: SocketAddr,
     /// Second address to serve, which no fault reaches.
     #[arg(long, global = true, value_name = "IP:PORT")]
@@ -42,9 +42,9 @@
     /// The list of live and leaving hosts.
     Hosts,
     /// The weight store.
-    Weights(Loading),
+    Weights(LoadArgs),
     /// Table, objects, hosts and weights on one port.
-    Platform(Loading),
+    Platform(LoadArgs),
     /// A model engine.
     Engine(EngineArgs),
     /// A plain service.
@@ -52,7 +52,7 @@
 }
 
 #[derive(Args)]
-struct Loading {
+struct LoadArgs {
     /// Milliseconds of a load at full speed.
     #[arg(long, value_name = "MILLIS", default_value_t = LOAD_TIME.as_millis() as u64)]
     load: u64,
@@ -61,7 +61,7 @@
 #[derive(Args)]
 struct EngineArgs {
     #[command(flatten)]
-    loading: Loading,
+    loading: LoadArgs,
     /// Adapter slots.
     #[arg(long, default_value_t = 8)]
     slots: u32,
@@ -91,7 +91,7 @@
     incarnation: Option<u64>,
 }
 
-/// A stand-in of any role, which runs until it is dropped.
+/// A running stand-in of any role, which stops when dropped.
 enum Running {
     Table(Table),
     Objects(Objects),
@@ -120,8 +120,8 @@
             Role::Table => Running::Table(Table::start(address)?),
             Role::Objects => Running::Objects(Objects::start(address)?),
             Role::Hosts => Running::Hosts(HostList::start(address)?),
-            Role::Weights(args) => Running::Weights(Weights::start(address, args.time())?),
-            Role::Platform(args) => Running::Platform(Platform::start(address, args.time())?),
+            Role::Weights(args) => Running::Weights(Weights::start(address, args.load_time())?),
+            Role::Platform(args) => Running::Platform(Platform::start(address, args.load_time())?),
             Role::Engine(args) => Running::Engine(Engine::start(address, args.settings())?),
             Role::Service => Running::Service(PlainService::start(address)?),
         })
@@ -142,8 +142,8 @@
     }
 }
 
-impl Loading {
-    fn time(&self) -> Duration {
+impl LoadArgs {
+    fn load_time(&self) -> Duration {
         Duration::from_millis(self.load)
     }
 }
@@ -158,14 +158,14 @@
             token_interval: Duration::from_millis(self.gap),
             max_tokens: self.length,
             weight_store: self.weights,
-            load_time: self.loading.time(),
+            load_time: self.loading.load_time(),
             check_fencing: self.fenced,
             incarnation: self.incarnation,
         }
     }
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
@@ -176,7 +176,7 @@
     let mut running = cli.role.start(cli.addresses.listen)?;
     let server = running.server_mut();
     let address = server.address();
-    // The line comes last: who reads it may use both addresses.
+    // Printed last, so that a reader of the line can use both addresses.
     match cli.addresses.control {
         Some(control) => {
             let control = server.open_control(control)?;
--- a/kingcupbay_standin/src/objects.rs
+++ b/kingcupbay_standin/src/objects.rs
@@ -1,5 +1,7 @@
-//! The platform's object store: `PUT /objects/KEY`, `GET /objects/KEY`, and
-//! `GET /state` for an [`ObjectsRecord`].
+//! Stand-in for the platform's object store.
+//!
+//! It serves `PUT /objects/KEY`, `GET /objects/KEY`, and `GET /state` for an
+//! [`ObjectsRecord`].
 
 use std::{cell::RefCell, collections::BTreeMap, io, net::SocketAddr, rc::Rc};
 
@@ -14,13 +16,13 @@
     call::{self, Answer, Call},
 };
 
-/// What the object store counted since it started.
+/// Counts of an object store since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ObjectsRecord {
-    /// Objects written.
+    /// Number of writes.
     pub puts: u64,
-    /// Reads, also of missing objects.
+    /// Number of reads, including those of missing objects.
     pub gets: u64,
 }
 
@@ -38,7 +40,8 @@
 }
 
 impl Objects {
-    /// Starts an empty store on `address`, on the current thread.
+    /// Starts an empty store on `address`, on the current thread. Fails
+    /// when the address cannot be bound.
     pub fn start(address: SocketAddr) -> io::Result<Objects> {
         let state = Rc::default();
         let server = Server::start(address, Behaviour::new(handler(&state)))?;
@@ -55,17 +58,17 @@
         &mut self.server
     }
 
-    /// What it counted.
+    /// Returns the counts.
     pub fn record(&self) -> ObjectsRecord {
         self.state.borrow().record
     }
 
-    /// One object.
+    /// Returns an object.
     pub fn get(&self, key: &str) -> Option<Bytes> {
         self.state.borrow().objects.get(key).cloned()
     }
 
-    /// The keys of all objects, in order.
+    /// Returns the keys of all objects, in order.
     pub fn keys(&self) -> Vec<String> {
         self.state.borrow().objects.keys().cloned().collect()
     }
@@ -98,7 +101,7 @@
     })
 }
 
-/// The answer to a request for the store, `None` when it is not for it.
+/// Answers a request for the store; returns `None` for any other request.
 pub(crate) fn answer(state: &RefCell<State>, call: &Call) -> Option<Answer> {
     let key = call.path.strip_prefix(PATH).filter(|key| !key.is_empty())?;
     match call.method {
--- a/kingcupbay_standin/src/operator.rs
+++ b/kingcupbay_standin/src/operator.rs
@@ -1,26 +1,26 @@
-//! What an operator writes to the store, and what callers send, in the
-//! platform's words.
+//! Rows that an operator writes to the registry, and headers that callers
+//! send, under the platform's names.
 
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
 use serde_json::{Value, json};
 
 use crate::upstream::BASE_MODEL;
 
-/// Name that all callers address.
+/// Host name of every declared route.
 pub const ROUTE_HOST: &str = "desk.example";
 
 /// A declared route.
 #[derive(Clone, Copy, Debug)]
 pub struct DeclaredRoute {
-    /// Its name, which is also what its paths begin with.
+    /// Its name, which is also the first segment of its paths.
     pub name: &'static str,
     /// `idempotent`, `non_idempotent` or `stream`.
     pub kind: &'static str,
-    /// Whether a stream may go on at another upstream.
+    /// Whether a stream may be resumed at another upstream.
     pub resumable: bool,
-    /// The service that it leads to.
+    /// The service that it routes to.
     pub service: &'static str,
-    /// Upstreams that a request may be sent to.
+    /// Most upstreams to which a request may be sent.
     pub max_attempts: u32,
 }
 
@@ -29,37 +29,38 @@
 pub struct DeclaredOrganisation {
     /// Its name.
     pub name: String,
-    /// Its keys.
+    /// Its API keys.
     pub keys: Vec<String>,
-    /// Its rate in tokens a second and its burst; zero is no limit.
+    /// Its rate in tokens per second, and its burst in tokens; zero means no limit.
     pub rate: u64,
-    /// What a request counts that names no tokens.
+    /// Tokens counted for a request that states no token usage.
     pub plain_tokens: u64,
 }
 
-/// A whole configuration with a service `desk` and one `writer` of engines.
+/// A whole configuration with a plain service `desk` and an engine service `writer`.
 #[derive(Clone, Debug)]
 pub struct DeclaredConfig {
-    /// Its number.
+    /// Its configuration number.
     pub number: u64,
     /// Its routes.
     pub routes: Vec<DeclaredRoute>,
     /// Its organisations.
     pub organisations: Vec<DeclaredOrganisation>,
-    /// Time in which a request must have its answer, in milliseconds.
+    /// Longest time until a request is answered, in milliseconds.
     pub timeout: u64,
-    /// Aim for an answer or a first event, in milliseconds.
+    /// Latency target for an answer or a first event, in milliseconds.
     pub latency_target: u64,
-    /// Places for adapters of each engine.
+    /// Adapter slots of each engine.
     pub adapter_slots: usize,
 }
 
 impl DeclaredConfig {
-    /// As the operator writes it.
+    /// Returns the row as the operator writes it.
     pub fn row(&self) -> Value {
         let route = |route: &DeclaredRoute| {
-            json!({"name": route.name, "host": ROUTE_HOST, "pathPrefix": format!("/{}/", route.name),
-                "kind": route.kind, "timeoutMs": self.timeout, "targetLatencyMs": self.latency_target,
+            json!({"name": route.name, "host": ROUTE_HOST,
+                "pathPrefix": format!("/{}/", route.name), "kind": route.kind,
+                "timeoutMs": self.timeout, "targetLatencyMs": self.latency_target,
                 "priority": 1, "service": route.service, "maxAttempts": route.max_attempts,
                 "allowAnonymous": false, "resumable": route.resumable})
         };
@@ -71,38 +72,38 @@
             "routes": self.routes.iter().map(route).collect::<Vec<_>>(),
             "services": [{"name": "desk", "maxConns": 200},
                 {"name": "writer", "maxConns": 200, "engine": {"slots": 8,
-                    "kvCacheTokens": 100_000, "adapterSlots": self.adapter_slots, "weightsMb": 100.0,
-                    "models": [{"name": BASE_MODEL, "weightsMb": 50.0, "loadS": 1.0,
-                        "adapters": 10}]}}],
+                    "kvCacheTokens": 100_000, "adapterSlots": self.adapter_slots,
+                    "weightsMb": 100.0, "models": [{"name": BASE_MODEL, "weightsMb": 50.0,
+                        "loadS": 1.0, "adapters": 10}]}}],
             "limits": {"maxHeaderBytes": 16_384, "maxBodyBytes": 1_000_000,
                 "headerTimeoutMs": 3_000, "idleTimeoutMs": 15_000},
             "tenants": self.organisations.iter().map(organisation).collect::<Vec<_>>()})
     }
 }
 
-/// The row that announces `version` of `adapter`, with its key.
+/// Returns the key and the row that announce `version` of `adapter`.
 pub fn announcement_row(adapter: &str, version: u32) -> (String, Value) {
     let row = json!({"model": BASE_MODEL, "adapter": adapter, "version": version});
     (format!("version/{BASE_MODEL}.{adapter}"), row)
 }
 
-/// What a caller says of its request.
+/// Properties of a caller's request.
 #[derive(Clone, Copy, Debug)]
 pub struct CallerRequest<'a> {
-    /// Identity of the attempt.
+    /// Id of the attempt.
     pub attempt: &'a str,
-    /// Its key.
+    /// API key of the caller.
     pub key: &'a str,
-    /// How long it waits, in milliseconds.
+    /// How long the caller waits, in milliseconds.
     pub deadline: u64,
-    /// Tokens of its prompt, and of its answer at most.
+    /// Tokens of the prompt, and most tokens of the answer.
     pub tokens: (u64, u64),
-    /// The adapter that it names.
+    /// The requested adapter.
     pub adapter: Option<&'a str>,
 }
 
 impl CallerRequest<'_> {
-    /// As headers.
+    /// Returns the properties as headers. Panics if a value is not visible ASCII.
     pub fn headers(&self) -> HeaderMap {
         let mut headers = HeaderMap::new();
         let mut insert = |name: &'static str, value: &str| {
@@ -122,7 +123,8 @@
     }
 }
 
-/// The attempt that an answer names, and the proof that an upstream made it.
+/// Returns the attempt id of an answer, and the signature which shows that an
+/// upstream made the answer.
 pub fn attempt_and_signature(headers: &HeaderMap) -> (Option<String>, Option<String>) {
     let text = |name: &str| Some(headers.get(name)?.to_str().ok()?.to_owned());
     (text("x-attempt-id"), text("x-response-stamp"))
--- a/kingcupbay_standin/src/platform.rs
+++ b/kingcupbay_standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The whole platform on one port: table, objects, host list and weights.
+//! Stand-in for the whole platform on one port: table, objects, host list and weights.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -23,7 +23,7 @@
     weights::WeightsRecord,
 };
 
-/// What the platform counted since it started; `GET /state`.
+/// Counts of a platform since its start; the answer to `GET /state`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PlatformRecord {
@@ -50,8 +50,9 @@
 }
 
 impl Platform {
-    /// Starts an empty platform on `address`, on the current thread, with
-    /// the time of a load at full speed.
+    /// Starts an empty platform on `address`, on the current thread. `load` is
+    /// the duration of a load at full speed. Fails when the address cannot be
+    /// bound.
     pub fn start(address: SocketAddr, load: Duration) -> io::Result<Platform> {
         let state = Rc::default();
         let server = Server::start(address, Behaviour::new(handler(&state, load)))?;
@@ -68,27 +69,27 @@
         &mut self.server
     }
 
-    /// What it counted.
+    /// Returns the counts.
     pub fn record(&self) -> PlatformRecord {
         self.state.record()
     }
 
-    /// All rows of the table in the order of their keys.
+    /// Returns all rows of the table in order of their keys.
     pub fn rows(&self) -> Vec<Row> {
         self.state.table.borrow().rows()
     }
 
-    /// Carries out a transaction without a request.
+    /// Runs a transaction directly, without an HTTP request.
     pub fn txn(&self, txn: &Txn) -> TxnAnswer {
         self.state.table.borrow_mut().txn(txn)
     }
 
-    /// Sets the host list; it shows after the lag.
+    /// Sets the actual hosts; the host list shows them after the lag.
     pub fn set_hosts(&self, hosts: Hosts) {
         self.state.hosts.borrow_mut().set(hosts);
     }
 
-    /// Sets the lag of the host list.
+    /// Sets how long the host list keeps showing the state before a change.
     pub fn set_lag(&self, lag: Duration) {
         self.state.hosts.borrow_mut().set_lag(lag);
     }
--- a/kingcupbay_standin/src/registry.rs
+++ b/kingcupbay_standin/src/registry.rs
@@ -1,5 +1,7 @@
-//! The platform's store of rows: reads, transactions under conditions, and a
-//! feed of changes. The handle writes the operator's rows and the upstreams'.
+//! Stand-in for the platform's registry of rows.
+//!
+//! It serves reads, conditional transactions and a feed of changes. The handle
+//! writes the rows of the operator and of the upstreams.
 
 use std::{
     cell::{Cell, RefCell},
@@ -26,15 +28,15 @@
 };
 
 /// Most rows in one answer.
-const PAGE: usize = 500;
+const MAX_PAGE_ROWS: usize = 500;
 
 /// Table and key.
 type RowKey = (String, String);
 
-/// One change: version, row, new content as the wire writes it.
-type Entry = (u64, RowKey, Option<String>);
+/// A change: version, row key, and new value in wire encoding or `None` if removed.
+type Change = (u64, RowKey, Option<String>);
 
-/// A running store.
+/// A running registry.
 pub struct Registry {
     server: Server,
     state: Rc<State>,
@@ -43,21 +45,22 @@
 #[derive(Default)]
 struct State {
     rows: RefCell<BTreeMap<RowKey, (String, u64)>>,
-    history: RefCell<Vec<Entry>>,
-    /// History before this version is gone.
+    history: RefCell<Vec<Change>>,
+    /// Version up to which the history was dropped.
     dropped_until: RefCell<u64>,
     version: RefCell<u64>,
     changes: Changes,
-    /// Feeds that begin now hear of nothing until their wait is over.
+    /// Feeds that begin now receive nothing until their wait is over.
     delayed: Cell<bool>,
-    /// Feeds that began while it was so, by table.
+    /// Number of feeds that began while `delayed` was set, by table.
     delayed_feeds: RefCell<BTreeMap<String, u32>>,
-    /// Longest wait that a feed asked for, in milliseconds, by table.
-    waits: RefCell<BTreeMap<String, u64>>,
+    /// Longest wait that a feed requested, in milliseconds, by table.
+    longest_waits: RefCell<BTreeMap<String, u64>>,
 }
 
 impl Registry {
-    /// Starts an empty store on `address`, on the current thread.
+    /// Starts an empty registry on `address`, on the current thread. Fails
+    /// when the address cannot be bound.
     pub fn start(address: SocketAddr) -> io::Result<Registry> {
         let state = Rc::<State>::default();
         let server = Server::start(address, Behaviour::new(handler(&state)))?;
@@ -69,22 +72,22 @@
         &self.server
     }
 
-    /// Writes a row as the operator or an upstream does; its version.
+    /// Writes a row as the operator or an upstream does and returns its version.
     pub fn put(&self, table: &str, key: &str, value: &Value) -> u64 {
         self.put_bytes(table, key, value.to_string().as_bytes())
     }
 
-    /// Writes a row that need not be JSON.
+    /// Writes a row whose value need not be JSON and returns its version.
     pub fn put_bytes(&self, table: &str, key: &str, value: &[u8]) -> u64 {
         self.state.write(vec![((table.to_owned(), key.to_owned()), Some(encode(value)))])
     }
 
-    /// Drops a row.
+    /// Removes a row.
     pub fn remove(&self, table: &str, key: &str) {
         self.state.write(vec![((table.to_owned(), key.to_owned()), None)]);
     }
 
-    /// Drops the history, so that feeds have to begin anew.
+    /// Drops the history, so that feeds must start again from a full read.
     pub fn drop_history(&self) {
         let version = *self.state.version.borrow();
         *self.state.dropped_until.borrow_mut() = version;
@@ -92,26 +95,27 @@
         self.state.changes.notify();
     }
 
-    /// Makes feeds that begin from now on delayed, or no longer: one that began delayed
-    /// stays so, and is answered at the end of its wait with all that it missed.
+    /// Sets whether feeds that begin from now on are delayed. A feed that began
+    /// delayed stays so: it is answered at the end of its wait, with all
+    /// changes since.
     pub fn set_feeds_delayed(&self, delayed: bool) {
         self.state.delayed.set(delayed);
     }
 
-    /// How many feeds of a table began delayed.
+    /// Returns how many feeds of a table began delayed.
     pub fn delayed_feeds(&self, table: &str) -> u32 {
         self.state.delayed_feeds.borrow().get(table).copied().unwrap_or_default()
     }
 
-    /// Longest wait that a feed of a table asked for, in milliseconds.
+    /// Returns the longest wait that a feed of a table requested, in milliseconds.
     pub fn longest_wait(&self, table: &str) -> u64 {
-        self.state.waits.borrow().get(table).copied().unwrap_or_default()
+        self.state.longest_waits.borrow().get(table).copied().unwrap_or_default()
     }
 
-    /// Keys of a table.
+    /// Returns the keys of a table, in order.
     pub fn keys(&self, table: &str) -> Vec<String> {
         let rows = self.state.rows.borrow();
-        rows.keys().filter(|(own, _)| own == table).map(|(_, key)| key.clone()).collect()
+        rows.keys().filter(|(of, _)| of == table).map(|(_, key)| key.clone()).collect()
     }
 }
 
@@ -136,12 +140,12 @@
         let table = query.get("table").cloned().unwrap_or_default();
         let from = query.get("from").cloned().unwrap_or_default();
         let rows = self.rows.borrow();
-        let limit = query.get("limit").and_then(|text| text.parse().ok()).unwrap_or(PAGE);
+        let limit = query.get("limit").and_then(|text| text.parse().ok()).unwrap_or(MAX_PAGE_ROWS);
         let mut all = rows
             .range((table.clone(), from)..)
-            .take_while(|((own, _), _)| *own == table)
+            .take_while(|((of, _), _)| *of == table)
             .map(|((table, key), (value, ver))| row(table, key, Some(value), *ver));
-        let found: Vec<Value> = all.by_ref().take(limit.min(PAGE)).collect();
+        let found: Vec<Value> = all.by_ref().take(limit.min(MAX_PAGE_ROWS)).collect();
         let more = all.next().is_some();
         call::json(&json!({"rows": found, "morePages": more, "ver": *self.version.borrow(),
             "nowMs": 0}))
@@ -153,23 +157,25 @@
         let after = number("after").unwrap_or_default();
         let millis = number("waitMs").unwrap_or_default();
         let wait = Duration::from_millis(millis);
-        let longest = self.waits.borrow().get(&table).copied().unwrap_or_default().max(millis);
-        self.waits.borrow_mut().insert(table.clone(), longest);
+        let longest =
+            self.longest_waits.borrow().get(&table).copied().unwrap_or_default().max(millis);
+        self.longest_waits.borrow_mut().insert(table.clone(), longest);
         let pending = || {
             let history = self.history.borrow();
-            let newer = |(ver, (own, _), _): &&Entry| *ver > after && *own == table;
-            history.iter().filter(newer).cloned().collect::<Vec<Entry>>()
+            let newer = |(ver, (of, _), _): &&Change| *ver > after && *of == table;
+            history.iter().filter(newer).cloned().collect::<Vec<Change>>()
         };
-        let lost = || after < *self.dropped_until.borrow();
+        let dropped = || after < *self.dropped_until.borrow();
         let delayed = self.delayed.get();
         if delayed {
             *self.delayed_feeds.borrow_mut().entry(table.clone()).or_default() += 1;
         }
-        let changed =
-            wait_until(self.changes.subscribe(), || !delayed && (!pending().is_empty() || lost()));
-        // At the end of the wait the answer is empty.
+        let changed = wait_until(self.changes.subscribe(), || {
+            !delayed && (!pending().is_empty() || dropped())
+        });
+        // When the wait ends without a change, the answer has no rows.
         let _ = tokio::time::timeout(wait, changed).await;
-        if lost() {
+        if dropped() {
             return call::text(StatusCode::GONE, "the history is gone");
         }
         let rows: Vec<Value> = pending()
@@ -210,7 +216,7 @@
     Rc::new(move |call| {
         let state = Rc::clone(&state);
         async move {
-            let query = pairs(&call.query);
+            let query = parse_query(&call.query);
             match (&call.method, call.path.as_str()) {
                 (&Method::GET, "/v1/rows-get") => state.read(&query),
                 (&Method::GET, "/v1/rows-feed") => state.feed(&query).await,
@@ -222,7 +228,7 @@
     })
 }
 
-fn pairs(query: &str) -> BTreeMap<String, String> {
+fn parse_query(query: &str) -> BTreeMap<String, String> {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let decoded = |value: &str| percent_decode_str(value).decode_utf8_lossy().into_owned();
     pairs.map(|(name, value)| (name.to_owned(), decoded(value))).collect()
@@ -237,7 +243,7 @@
     }
 }
 
-/// Bytes in base64, as the wire has them.
+/// Bytes that are base64 on the wire.
 #[serde_as]
 #[derive(Serialize)]
 #[serde(transparent)]
--- a/kingcupbay_standin/src/service.rs
+++ b/kingcupbay_standin/src/service.rs
@@ -1,6 +1,7 @@
-//! A plain service: `POST /call/PATH` executes, `GET /executions` counts.
+//! Stand-in for a plain service.
 //!
-//! It does not deduplicate: a call repeated with the same idempotency key
+//! `POST /call/PATH` executes a call, `GET /executions` returns the counts. It
+//! does not deduplicate: a call repeated with the same idempotency key
 //! executes again, and the counts show it.
 
 use std::{cell::RefCell, collections::BTreeMap, io, net::SocketAddr, rc::Rc};
@@ -23,17 +24,17 @@
 /// Header that carries the caller's idempotency key.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
-/// ExecutionCounts counted since the start.
+/// Counts of executions since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ExecutionCounts {
-    /// All of them.
+    /// All executions.
     pub total: u64,
-    /// By idempotency key; calls without one are only in `total`.
+    /// Executions by idempotency key; calls without one count only in `total`.
     pub keys: BTreeMap<String, u64>,
 }
 
-/// The JSON answer to a call.
+/// JSON answer to a call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Execution {
@@ -60,7 +61,8 @@
 }
 
 impl PlainService {
-    /// Starts a service on `address`, on the current thread.
+    /// Starts a service on `address`, on the current thread. Fails
+    /// when the address cannot be bound.
     pub fn start(address: SocketAddr) -> io::Result<PlainService> {
         let state = Rc::<State>::default();
         let server = Server::start(address, Behaviour::new(handler(&state)))?;
@@ -77,12 +79,12 @@
         &mut self.server
     }
 
-    /// What it executed.
+    /// Returns the counts of executions.
     pub fn executions(&self) -> ExecutionCounts {
         self.state.executions.borrow().clone()
     }
 
-    /// Waits until it has executed this many calls.
+    /// Waits until at least this many calls have been executed.
     pub async fn wait_for_executions(&self, total: u64) {
         let state = &self.state;
         wait_until(state.changes.subscribe(), || state.executions.borrow().total >= total).await;
--- a/kingcupbay_standin/src/table.rs
+++ b/kingcupbay_standin/src/table.rs
@@ -1,5 +1,6 @@
-//! The platform's transactional table: `POST /txn`, `POST /read`, and
-//! `GET /state` for a [`TableRecord`].
+//! Stand-in for the platform's transactional table.
+//!
+//! It serves `POST /txn`, `POST /read`, and `GET /state` for a [`TableRecord`].
 
 use std::{cell::RefCell, collections::BTreeMap, io, net::SocketAddr, rc::Rc};
 
@@ -13,15 +14,15 @@
     call::{self, Answer, Call},
 };
 
-/// What the table counted since it started.
+/// Counts of a table since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct TableRecord {
-    /// Transactions that took effect.
+    /// Number of transactions that took effect.
     pub committed: u64,
-    /// Transactions whose conditions failed.
+    /// Number of transactions whose conditions failed.
     pub conflicts: u64,
-    /// Reads.
+    /// Number of reads.
     pub reads: u64,
 }
 
@@ -34,14 +35,15 @@
 /// The rows and counts.
 #[derive(Default)]
 pub(crate) struct State {
-    /// Invariant: each row stands under its own key, its revision is at
-    /// least 1. A row removed and made again starts at 1 again.
+    /// Invariant: each row is stored under its own key and has a revision of
+    /// at least 1. A row that is removed and written again restarts at 1.
     rows: BTreeMap<String, Row>,
     record: TableRecord,
 }
 
 impl Table {
-    /// Starts an empty table on `address`, on the current thread.
+    /// Starts an empty table on `address`, on the current thread. Fails
+    /// when the address cannot be bound.
     pub fn start(address: SocketAddr) -> io::Result<Table> {
         let state = Rc::default();
         let server = Server::start(address, Behaviour::new(handler(&state)))?;
@@ -58,17 +60,17 @@
         &mut self.server
     }
 
-    /// What it counted.
+    /// Returns the counts.
     pub fn record(&self) -> TableRecord {
         self.state.borrow().record
     }
 
-    /// All rows in the order of their keys.
+    /// Returns all rows in order of their keys.
     pub fn rows(&self) -> Vec<Row> {
         self.state.borrow().rows()
     }
 
-    /// Carries out a transaction without a request.
+    /// Runs a transaction directly, without an HTTP request.
     pub fn txn(&self, txn: &Txn) -> TxnAnswer {
         self.state.borrow_mut().txn(txn)
     }
@@ -139,7 +141,7 @@
     })
 }
 
-/// The answer to a request for the table, `None` when it is not for it.
+/// Answers a request for the table; returns `None` for any other request.
 pub(crate) fn answer(state: &RefCell<State>, call: &Call) -> Option<Answer> {
     let answer = match (&call.method, call.path.as_str()) {
         (&Method::POST, "/txn") => call.json().map(|txn| call::json(&state.borrow_mut().txn(&txn))),
--- a/kingcupbay_standin/src/upstream.rs
+++ b/kingcupbay_standin/src/upstream.rs
@@ -1,5 +1,6 @@
-//! An upstream of a registered fleet: a plain service, or a model engine with
-//! adapters that it is ordered to hold.
+//! Stand-in for an upstream of a registered fleet.
+//!
+//! It is a plain service, or a model engine that loads adapters by order.
 
 use std::{
     cell::{Cell, RefCell},
@@ -26,25 +27,25 @@
 /// The base model of every engine.
 pub const BASE_MODEL: &str = "base";
 
-/// How an upstream behaves.
+/// Settings of an upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamSettings {
     /// Its id.
     pub id: String,
     /// Whether it is a model engine.
     pub engine: bool,
-    /// Events of each stream.
+    /// Number of events of each stream.
     pub events: u64,
-    /// Pause between two events.
+    /// Time before each event of a stream.
     pub event_interval: Duration,
-    /// One stream breaks off after this many events.
+    /// If set, one stream fails after this many events.
     pub cut_after: Option<u64>,
-    /// Places for adapters.
+    /// Number of adapter slots.
     pub adapter_slots: usize,
 }
 
 impl UpstreamSettings {
-    /// A plain service.
+    /// Returns the settings of a plain service.
     pub fn plain(id: &str) -> UpstreamSettings {
         UpstreamSettings {
             id: id.to_owned(),
@@ -56,7 +57,7 @@
         }
     }
 
-    /// An engine whose streams have `events` events.
+    /// Returns the settings of an engine whose streams have `events` events.
     pub fn engine(id: &str, events: u64) -> UpstreamSettings {
         let event_interval = Duration::from_millis(5);
         UpstreamSettings {
@@ -69,49 +70,49 @@
     }
 }
 
-/// A request that an upstream began to run.
+/// A request that an upstream started to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamRun {
-    /// Identity of the caller's attempt.
+    /// Id of the caller's attempt.
     pub attempt: String,
-    /// When it began.
+    /// Start time.
     pub started: Instant,
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// Headers as they came, by lower-case name.
+    /// Received headers, by lower-case name.
     pub headers: BTreeMap<String, String>,
     /// Path and query.
     pub path: String,
-    /// The body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
 impl UpstreamRun {
-    /// The organisation that it is told to run for.
+    /// Returns the organisation for which the request runs.
     pub fn organisation(&self) -> Option<&str> {
         self.headers.get("x-tenant").map(String::as_str)
     }
 
-    /// The adapter that it names.
+    /// Returns the requested adapter.
     pub fn adapter(&self) -> Option<&str> {
         Some(self.headers.get("x-model")?.split_once('/')?.1)
     }
 
-    /// The only version of the adapter that may run it.
+    /// Returns the only version of the adapter that may run the request.
     pub fn version(&self) -> Option<u32> {
         self.headers.get("x-expect-version")?.parse().ok()
     }
 
-    /// Whether the caller's key came along.
+    /// Returns whether the caller's API key was forwarded.
     pub fn has_key(&self) -> bool {
         self.headers.contains_key("authorization")
     }
 }
 
-/// Who gave an order.
+/// Issuer of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamOrder {
-    /// The host.
+    /// Host that issued the order.
     pub holder: String,
     /// Its fencing number.
     pub fencing: u64,
@@ -127,31 +128,32 @@
     settings: UpstreamSettings,
     cut: Cell<Option<u64>>,
     runs: RefCell<Vec<UpstreamRun>>,
-    /// Streams whose caller has left before their end.
-    left: Cell<u32>,
-    open: RefCell<BTreeMap<String, u64>>,
+    /// Number of streams whose caller disconnected before their end.
+    disconnects: Cell<u32>,
+    running: RefCell<BTreeMap<String, u64>>,
     adapters: RefCell<BTreeMap<String, u32>>,
-    newest: RefCell<BTreeMap<String, u32>>,
-    orders: Cell<u64>,
+    newest_versions: RefCell<BTreeMap<String, u32>>,
+    order_count: Cell<u64>,
     order_log: RefCell<Vec<Value>>,
-    overloads: Cell<u32>,
+    refused_loads: Cell<u32>,
     changes: Changes,
 }
 
 impl UpstreamServer {
-    /// Starts an upstream on `address`, on the current thread.
+    /// Starts an upstream on `address`, on the current thread. Fails
+    /// when the address cannot be bound.
     pub fn start(address: SocketAddr, settings: UpstreamSettings) -> io::Result<UpstreamServer> {
         let state = Rc::new(State {
             cut: Cell::new(settings.cut_after),
             settings,
             runs: RefCell::default(),
-            left: Cell::new(0),
-            open: RefCell::default(),
+            disconnects: Cell::new(0),
+            running: RefCell::default(),
             adapters: RefCell::default(),
-            newest: RefCell::default(),
-            orders: Cell::new(0),
+            newest_versions: RefCell::default(),
+            order_count: Cell::new(0),
             order_log: RefCell::default(),
-            overloads: Cell::new(0),
+            refused_loads: Cell::new(0),
             changes: Changes::default(),
         });
         let restarted = Rc::clone(&state);
@@ -166,47 +168,48 @@
         &self.server
     }
 
-    /// Its registration, as it writes it.
+    /// Returns the row with which the upstream registers.
     pub fn registration(&self, service: &str, state: &str) -> Value {
         json!({"service": service, "address": self.server.address().to_string(),
             "zone": "zone-a", "version": "v1", "slots": 8, "state": state,
             "coldRemainingMs": 0, "seq": 0, "born": 1})
     }
 
-    /// What it began to run.
+    /// Returns the requests that it started to run.
     pub fn runs(&self) -> Vec<UpstreamRun> {
         self.state.runs.borrow().clone()
     }
 
-    /// Waits until it has begun to run this many requests.
+    /// Waits until it has started to run at least this many requests.
     pub async fn wait_for_runs(&self, count: usize) {
         let state = &self.state;
         wait_until(state.changes.subscribe(), || state.runs.borrow().len() >= count).await;
     }
 
-    /// Waits until this many callers have left a stream before its end.
+    /// Waits until at least this many callers have disconnected during a stream.
     pub async fn wait_for_disconnects(&self, count: u32) {
         let state = &self.state;
-        wait_until(state.changes.subscribe(), || state.left.get() >= count).await;
+        wait_until(state.changes.subscribe(), || state.disconnects.get() >= count).await;
     }
 
-    /// Identities of the streams that run.
+    /// Returns the attempt ids of the running streams.
     pub fn running_streams(&self) -> Vec<String> {
-        self.state.open.borrow().keys().cloned().collect()
+        self.state.running.borrow().keys().cloned().collect()
     }
 
-    /// Orders to hold more than there are places for; a real engine would
-    /// have crashed at each.
+    /// Returns the number of load orders refused because all adapter slots
+    /// were in use. A real engine would have crashed at each of them.
     pub fn refused_loads(&self) -> u32 {
-        self.state.overloads.get()
+        self.state.refused_loads.get()
     }
 
-    /// Orders that it accepted, as they came.
+    /// Returns the orders that were not refused as stale, in order of arrival.
     pub fn orders(&self) -> Vec<Value> {
         self.state.order_log.borrow().clone()
     }
 
-    /// Who gave the orders that it accepted, as they came.
+    /// Returns the issuers of the orders that were not refused as stale, in
+    /// order of arrival.
     pub fn order_issuers(&self) -> Vec<UpstreamOrder> {
         let order = |order: &Value| UpstreamOrder {
             holder: order["holder"].as_str().unwrap_or_default().to_owned(),
@@ -215,7 +218,7 @@
         self.state.order_log.borrow().iter().map(order).collect()
     }
 
-    /// Its registration at another address, leaving or not.
+    /// Returns the registration row for another address, leaving or not.
     pub fn registration_at(&self, address: SocketAddr, service: &str, leaving: bool) -> Value {
         let state = if leaving { "draining" } else { "ready" };
         let mut row = self.registration(service, state);
@@ -223,17 +226,17 @@
         row
     }
 
-    /// Makes a newer version of an adapter the one that loads fetch.
+    /// Sets the version of an adapter that later loads fetch.
     pub fn set_newest_version(&self, adapter: &str, version: u32) {
-        self.state.newest.borrow_mut().insert(adapter.to_owned(), version);
+        self.state.newest_versions.borrow_mut().insert(adapter.to_owned(), version);
     }
 }
 
 impl State {
-    /// It comes back empty and counts anew; what it has run stays known.
+    /// Restarts without adapters and with a new order count; keeps the record of runs.
     fn restart(&self) {
         self.adapters.borrow_mut().clear();
-        self.orders.set(0);
+        self.order_count.set(0);
         self.changes.notify();
     }
 
@@ -242,10 +245,10 @@
             Ok(order) => order,
             Err(refusal) => return refusal,
         };
-        if order["expectRevision"].as_u64().is_some_and(|seq| seq != self.orders.get()) {
+        if order["expectRevision"].as_u64().is_some_and(|seq| seq != self.order_count.get()) {
             return call::empty(StatusCode::CONFLICT);
         }
-        self.orders.set(self.orders.get() + 1);
+        self.order_count.set(self.order_count.get() + 1);
         self.order_log.borrow_mut().push(order.clone());
         let adapter = order["adapter"].as_str().unwrap_or_default().to_owned();
         let mut adapters = self.adapters.borrow_mut();
@@ -254,11 +257,11 @@
             _ if adapters.len() >= self.settings.adapter_slots
                 && !adapters.contains_key(&adapter) =>
             {
-                self.overloads.set(self.overloads.get() + 1);
+                self.refused_loads.set(self.refused_loads.get() + 1);
                 return call::empty(StatusCode::BAD_REQUEST);
             }
             _ => {
-                let newest = self.newest.borrow().get(&adapter).copied().unwrap_or(1);
+                let newest = self.newest_versions.borrow().get(&adapter).copied().unwrap_or(1);
                 adapters.insert(adapter, newest);
             }
         }
@@ -269,9 +272,10 @@
     fn report(&self) -> Answer {
         let adapters: Vec<String> =
             self.adapters.borrow().iter().map(|(name, ver)| format!("{name}@{ver}")).collect();
-        let open = self.open.borrow();
-        let runs: Vec<Value> = open.iter().map(|(id, events)| json!([id, 10, events, 5])).collect();
-        call::json(&json!({"stage": "colocated", "busy": false, "seq": self.orders.get(),
+        let running = self.running.borrow();
+        let runs: Vec<Value> =
+            running.iter().map(|(id, events)| json!([id, 10, events, 5])).collect();
+        call::json(&json!({"stage": "colocated", "busy": false, "seq": self.order_count.get(),
             "models": [{"name": BASE_MODEL, "version": 1, "adapters": adapters}],
             "queued": 0, "inFlight": runs.len(), "kvUsed": 0, "kvTotal": 100_000,
             "handles": 0, "pending": [], "runs": runs, "state": "ready", "born": 1}))
@@ -287,14 +291,14 @@
         }
         let adapter = text("x-model").and_then(|model| Some(model.split_once('/')?.1.to_owned()));
         if let Some(adapter) = adapter {
-            let held = self.adapters.borrow().get(&adapter).copied();
+            let resident = self.adapters.borrow().get(&adapter).copied();
             let expected = text("x-expect-version").and_then(|text| text.parse().ok());
-            if held.is_none() || expected.is_some_and(|version| held != Some(version)) {
+            if resident.is_none() || expected.is_some_and(|version| resident != Some(version)) {
                 return refusal(StatusCode::MISDIRECTED_REQUEST);
             }
         }
         let attempt = text("x-attempt-id").unwrap_or_default();
-        let named = |(name, value): (&header::HeaderName, &header::HeaderValue)| {
+        let header = |(name, value): (&header::HeaderName, &header::HeaderValue)| {
             (name.as_str().to_owned(), value.to_str().unwrap_or_default().to_owned())
         };
         let query = if call.query.is_empty() { String::new() } else { format!("?{}", call.query) };
@@ -302,7 +306,7 @@
             attempt: attempt.clone(),
             started: Instant::now(),
             method: call.method.clone(),
-            headers: call.headers.iter().map(named).collect(),
+            headers: call.headers.iter().map(header).collect(),
             path: format!("{}{query}", call.path),
             body: call.body.to_vec(),
         });
@@ -313,8 +317,8 @@
                 .map_into_boxed_body();
         }
         let first = text("last-event-id").and_then(|text| text.parse().ok()).unwrap_or(0);
-        self.open.borrow_mut().insert(attempt.clone(), 0);
-        let events = Events {
+        self.running.borrow_mut().insert(attempt.clone(), 0);
+        let events = EventStream {
             state: Rc::clone(self),
             attempt: attempt.clone(),
             next: first + 1,
@@ -332,8 +336,8 @@
     }
 }
 
-/// A stream that runs; its drop before the end counts as a caller's leaving.
-struct Events {
+/// A running stream. Dropping it before its end counts as a disconnect of the caller.
+struct EventStream {
     state: Rc<State>,
     attempt: String,
     next: u64,
@@ -342,7 +346,7 @@
     ended: bool,
 }
 
-impl Events {
+impl EventStream {
     async fn next(&mut self) -> Option<Result<Bytes, io::Error>> {
         if self.ended || self.next > self.state.settings.events {
             self.ended = true;
@@ -355,18 +359,18 @@
             return Some(Err(io::Error::other("cut")));
         }
         let event = format!("id: {}\ndata: event {} of {}\n\n", self.next, self.next, self.attempt);
-        self.state.open.borrow_mut().insert(self.attempt.clone(), self.next);
+        self.state.running.borrow_mut().insert(self.attempt.clone(), self.next);
         self.next += 1;
         self.sent += 1;
         Some(Ok(event.into()))
     }
 }
 
-impl Drop for Events {
+impl Drop for EventStream {
     fn drop(&mut self) {
-        self.state.open.borrow_mut().remove(&self.attempt);
+        self.state.running.borrow_mut().remove(&self.attempt);
         if !self.ended {
-            self.state.left.set(self.state.left.get() + 1);
+            self.state.disconnects.set(self.state.disconnects.get() + 1);
         }
         self.state.changes.notify();
     }
--- a/kingcupbay_standin/src/weights.rs
+++ b/kingcupbay_standin/src/weights.rs
@@ -1,8 +1,9 @@
-//! The platform's weight store: `POST /weights/take` answers when the load
-//! would be done; `GET /state` for a [`WeightsRecord`].
+//! Stand-in for the platform's weight store.
 //!
-//! A load takes its full time while at most [`FULL_SPEED_LOADS`] are in flight over all
-//! engines, and proportionally longer beyond that.
+//! `POST /weights/take` answers when the load would be done; `GET /state`
+//! returns a [`WeightsRecord`]. A load runs at full speed while at most
+//! [`FULL_SPEED_LOADS`] are in flight over all engines, and takes
+//! proportionally longer beyond that.
 
 use std::{cell::RefCell, collections::BTreeMap, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -19,32 +20,32 @@
     call::{self, Answer, Call},
 };
 
-/// Path of the one request.
+/// Path of the request that performs a load.
 pub(crate) const TAKE: &str = "/weights/take";
 
-/// Loads in flight that still have full speed each.
+/// Most loads in flight that all run at full speed.
 pub const FULL_SPEED_LOADS: u32 = 8;
 
-/// Time of a load at full speed, unless set otherwise.
+/// Default duration of a load at full speed.
 pub const LOAD_TIME: Duration = Duration::from_millis(250);
 
 /// Body of `POST /weights/take`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct TakeRequest {
-    /// What to load.
+    /// Path of the weights to load.
     pub path: String,
 }
 
-/// What the weight store counted since it started.
+/// Counts of a weight store since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct WeightsRecord {
-    /// Loads in flight now.
+    /// Number of loads in flight now.
     pub in_flight: u32,
-    /// Most loads in flight at once.
+    /// Highest number of loads in flight at once.
     pub most: u32,
-    /// Loads begun, by path.
+    /// Number of started loads, by path.
     pub taken: BTreeMap<String, u64>,
 }
 
@@ -57,69 +58,69 @@
 /// Loads in flight and counts.
 pub(crate) struct State {
     origin: Instant,
-    sharing: RefCell<SharedBandwidth>,
+    bandwidth: RefCell<SharedBandwidth>,
     record: RefCell<WeightsRecord>,
-    /// Changes whenever the speed may have changed.
-    changed: watch::Sender<()>,
+    /// Notified whenever the speed may have changed.
+    speed_changed: watch::Sender<()>,
 }
 
-/// Progress of the loads in flight, which all have the same speed.
+/// Progress of the loads in flight, which share the bandwidth equally.
 ///
-/// Work is counted in nanoseconds at full speed, so that rounding at each
-/// change stays far below a timer's grain.
+/// Work is counted in nanoseconds at full speed, so that the rounding error of
+/// each change stays far below the resolution of timers.
 #[derive(Clone, Copy, Debug)]
 pub struct SharedBandwidth {
-    /// Work that a load in flight since the beginning would have done.
+    /// Work, in nanoseconds, that a load in flight since the start would have done.
     done: u64,
-    /// When `done` was brought up to date.
-    at: Duration,
+    /// Time of the last update of `done`.
+    updated: Duration,
     in_flight: u32,
 }
 
 impl SharedBandwidth {
-    /// No load in flight at time `now`.
+    /// Creates a state without loads at time `now`.
     pub fn new(now: Duration) -> SharedBandwidth {
-        SharedBandwidth { done: 0, at: now, in_flight: 0 }
+        SharedBandwidth { done: 0, updated: now, in_flight: 0 }
     }
 
-    /// Begins a load of `work`; the mark at which it is done.
+    /// Starts a load of `work` and returns the value of total work at which it is done.
     pub fn begin(&mut self, now: Duration, work: Duration) -> u64 {
         self.advance(now);
         self.in_flight += 1;
         self.done + work.as_nanos() as u64
     }
 
-    /// Ends a load, done or given up.
+    /// Ends a load, whether completed or abandoned.
     pub fn end(&mut self, now: Duration) {
         self.advance(now);
         self.in_flight -= 1;
     }
 
-    /// Time from `now` until the mark is reached if nothing changes.
-    pub fn left(&self, now: Duration, mark: u64) -> Duration {
+    /// Returns the time from `now` until `target` is reached if no load starts or ends.
+    pub fn time_left(&self, now: Duration, target: u64) -> Duration {
         let mut then = *self;
         then.advance(now);
-        let work = mark.saturating_sub(then.done);
+        let work = target.saturating_sub(then.done);
         let stretched = work * u64::from(self.in_flight.max(FULL_SPEED_LOADS));
         Duration::from_nanos(stretched.div_ceil(u64::from(FULL_SPEED_LOADS)))
     }
 
-    /// Loads in flight.
+    /// Returns the number of loads in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
     fn advance(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_nanos() as u64;
+        let passed = now.saturating_sub(self.updated).as_nanos() as u64;
         self.done +=
             passed * u64::from(FULL_SPEED_LOADS) / u64::from(self.in_flight.max(FULL_SPEED_LOADS));
-        self.at = now;
+        self.updated = now;
     }
 }
 
 impl Weights {
-    /// Starts a store on `address`, on the current thread, with the time of
-    /// a load at full speed.
+    /// Starts a store on `address`, on the current thread. `load` is the
+    /// duration of a load at full speed. Fails when the address cannot be bound.
     pub fn start(address: SocketAddr, load: Duration) -> io::Result<Weights> {
         let state = Rc::default();
         let server = Server::start(address, Behaviour::new(handler(&state, load)))?;
@@ -136,7 +137,7 @@
         &mut self.server
     }
 
-    /// What it counted.
+    /// Returns the counts.
     pub fn record(&self) -> WeightsRecord {
         self.state.record()
     }
@@ -146,9 +147,9 @@
     fn default() -> State {
         State {
             origin: Instant::now(),
-            sharing: RefCell::new(SharedBandwidth::new(Duration::ZERO)),
+            bandwidth: RefCell::new(SharedBandwidth::new(Duration::ZERO)),
             record: RefCell::default(),
-            changed: watch::Sender::new(()),
+            speed_changed: watch::Sender::new(()),
         }
     }
 }
@@ -159,32 +160,32 @@
     }
 
     fn begin(self: &Rc<Self>, path: String, work: Duration) -> InFlight {
-        let mut sharing = self.sharing.borrow_mut();
-        let mark = sharing.begin(self.origin.elapsed(), work);
+        let mut bandwidth = self.bandwidth.borrow_mut();
+        let target = bandwidth.begin(self.origin.elapsed(), work);
         let mut record = self.record.borrow_mut();
-        record.in_flight = sharing.in_flight();
+        record.in_flight = bandwidth.in_flight();
         record.most = record.most.max(record.in_flight);
         *record.taken.entry(path).or_default() += 1;
-        self.changed.send_replace(());
-        InFlight { state: Rc::clone(self), mark }
+        self.speed_changed.send_replace(());
+        InFlight { state: Rc::clone(self), target }
     }
 
     fn end(&self) {
-        let mut sharing = self.sharing.borrow_mut();
-        sharing.end(self.origin.elapsed());
-        self.record.borrow_mut().in_flight = sharing.in_flight();
-        self.changed.send_replace(());
+        let mut bandwidth = self.bandwidth.borrow_mut();
+        bandwidth.end(self.origin.elapsed());
+        self.record.borrow_mut().in_flight = bandwidth.in_flight();
+        self.speed_changed.send_replace(());
     }
 
-    fn left(&self, mark: u64) -> Duration {
-        self.sharing.borrow().left(self.origin.elapsed(), mark)
+    fn time_left(&self, target: u64) -> Duration {
+        self.bandwidth.borrow().time_left(self.origin.elapsed(), target)
     }
 }
 
-/// A load in flight; its drop ends it, also when its engine has gone.
+/// A load in flight. Dropping it ends the load, also when its engine disconnects.
 struct InFlight {
     state: Rc<State>,
-    mark: u64,
+    target: u64,
 }
 
 impl Drop for InFlight {
@@ -194,17 +195,17 @@
 }
 
 impl InFlight {
-    /// Waits until the load is done at whatever speed it gets.
+    /// Waits until the load is done, at a speed that depends on the other loads.
     async fn finish(self) {
-        let mut changed = self.state.changed.subscribe();
+        let mut speed_changed = self.state.speed_changed.subscribe();
         loop {
-            let left = self.state.left(self.mark);
-            if left.is_zero() {
+            let time_left = self.state.time_left(self.target);
+            if time_left.is_zero() {
                 return;
             }
             tokio::select! {
-                _ = changed.changed() => {}
-                () = sleep(left) => {}
+                _ = speed_changed.changed() => {}
+                () = sleep(time_left) => {}
             }
         }
     }
@@ -224,7 +225,7 @@
     })
 }
 
-/// The answer to a request for the store, `None` when it is not for it.
+/// Answers a request for the store; returns `None` for any other request.
 pub(crate) async fn answer(state: &Rc<State>, load: Duration, call: &Call) -> Option<Answer> {
     if (&call.method, call.path.as_str()) != (&Method::POST, TAKE) {
         return None;
--- a/kingcupbay_standin/tests/platform.rs
+++ b/kingcupbay_standin/tests/platform.rs
@@ -156,7 +156,7 @@
         let mut sharing = SharedBandwidth::new(Duration::ZERO);
         let marks: Vec<_> = (0..loads).map(|_| sharing.begin(MS, 250 * MS)).collect();
         for mark in marks {
-            assert_eq!(sharing.left(MS, mark), expected * MS, "{loads} loads");
+            assert_eq!(sharing.time_left(MS, mark), expected * MS, "{loads} loads");
         }
     }
 }
@@ -169,9 +169,9 @@
         sharing.begin(Duration::ZERO, 250 * MS);
     });
     // 100 ms at half speed leave 200 ms of work.
-    assert_eq!(sharing.left(100 * MS, mark), 400 * MS);
+    assert_eq!(sharing.time_left(100 * MS, mark), 400 * MS);
     (0..8).for_each(|_| sharing.end(100 * MS));
     assert_eq!(sharing.in_flight(), 8);
-    assert_eq!(sharing.left(100 * MS, mark), 200 * MS);
-    assert_eq!(sharing.left(300 * MS, mark), Duration::ZERO);
+    assert_eq!(sharing.time_left(100 * MS, mark), 200 * MS);
+    assert_eq!(sharing.time_left(300 * MS, mark), Duration::ZERO);
 }
