--- a/kingcupbay_soak/src/promises.rs
+++ b/kingcupbay_soak/src/promises.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use kingcupbay_standin::{UpstreamOrder, UpstreamRun};
+use kingcupbay_standin::{OrderIssuer, UpstreamRun};
 
 use crate::{
     fleet::EVENTS,
@@ -32,7 +32,7 @@
     /// Requests that it ran.
     pub runs: Vec<UpstreamRun>,
     /// Orders that it accepted, by order of coming.
-    pub orders: Vec<UpstreamOrder>,
+    pub orders: Vec<OrderIssuer>,
     /// Orders to hold more than it has places for.
     pub overloads: u32,
 }
--- a/kingcupbay_soak/tests/promises.rs
+++ b/kingcupbay_soak/tests/promises.rs
@@ -13,7 +13,7 @@
     promises::{Evidence, Witness, breaches},
     sent::{Answer, End, Kind, Sent},
 };
-use kingcupbay_standin::{UpstreamOrder, UpstreamRun};
+use kingcupbay_standin::{OrderIssuer, UpstreamRun};
 
 /// One request of each shape, its answer, and the run that made it.
 struct Case {
@@ -230,7 +230,7 @@
 #[test]
 fn orders_out_of_order_are_seen() {
     let mut case = Case::new();
-    let order = |holder: &str, fencing| UpstreamOrder { holder: holder.to_owned(), fencing };
+    let order = |holder: &str, fencing| OrderIssuer { holder: holder.to_owned(), fencing };
     case.witness.orders = vec![order("h", 3), order("h", 3), order("h", 5)];
     assert_eq!(case.broken(), Vec::<&str>::new());
     case.witness.orders.push(order("g", 4));
--- a/kingcupbay_standin/src/upstream.rs
+++ b/kingcupbay_standin/src/upstream.rs
@@ -111,7 +111,7 @@
 
 /// Issuer of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct UpstreamOrder {
+pub struct OrderIssuer {
     /// Host that issued the order.
     pub holder: String,
     /// Its fencing number.
@@ -210,8 +210,8 @@
 
     /// Returns the issuers of the orders that were not refused as stale, in
     /// order of arrival.
-    pub fn order_issuers(&self) -> Vec<UpstreamOrder> {
-        let order = |order: &Value| UpstreamOrder {
+    pub fn order_issuers(&self) -> Vec<OrderIssuer> {
+        let order = |order: &Value| OrderIssuer {
             holder: order["holder"].as_str().unwrap_or_default().to_owned(),
             fencing: order["fenceToken"].as_u64().unwrap_or_default(),
         };
--- a/kingcupbay_standin/tests/common/mod.rs
+++ b/kingcupbay_standin/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: addresses, requests and whole streams.
+//! Helpers that the tests share: addresses, requests and complete streams.
 #![allow(dead_code)]
 
 use std::{
@@ -15,32 +15,33 @@
 use kingcupbay_standin::{Engine, EngineSettings};
 use serde::Serialize;
 
-/// Ends a test that hangs; no test depends on its length.
-const GUARD: Duration = Duration::from_secs(60);
+/// Longest wait for an answer; a process whose tests run twice as long ends. No
+/// test depends on its length.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub(crate) type Answer = Result<ClientResponse, SendRequestError>;
 
-/// A loopback address whose port the kernel chooses.
-pub(crate) fn any() -> SocketAddr {
-    watch();
+/// Returns a loopback address whose port the kernel chooses.
+pub(crate) fn any_port() -> SocketAddr {
+    start_watchdog();
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
-/// Ends the program when a test waits for something that never comes.
-pub(crate) fn watch() {
+/// Ends the process when a test waits for something that never happens.
+pub(crate) fn start_watchdog() {
     static WATCH: Once = Once::new();
     WATCH.call_once(|| {
         std::thread::spawn(|| {
-            std::thread::sleep(2 * GUARD);
+            std::thread::sleep(2 * HANG_TIMEOUT);
             eprintln!("a test hangs");
             std::process::exit(1);
         });
     });
 }
 
-/// A client with a connection pool of its own.
+/// Creates a client with its own connection pool.
 pub(crate) fn client() -> Client {
-    Client::builder().timeout(GUARD).finish()
+    Client::builder().timeout(HANG_TIMEOUT).finish()
 }
 
 pub(crate) async fn post(address: SocketAddr, path: &str, body: &impl Serialize) -> Answer {
@@ -51,7 +52,7 @@
     client().get(format!("http://{address}{path}")).send().await
 }
 
-/// An engine without any waiting, and changes to its settings.
+/// Starts an engine whose delays are all zero, with further changes to its settings.
 pub(crate) fn engine(change: impl FnOnce(&mut EngineSettings)) -> Engine {
     let mut settings = EngineSettings {
         first_token: Duration::ZERO,
@@ -61,24 +62,24 @@
         ..EngineSettings::default()
     };
     change(&mut settings);
-    Engine::start(any(), settings).unwrap()
+    Engine::start(any_port(), settings).unwrap()
 }
 
-/// A request id whose first byte is `n`.
-pub(crate) fn request(n: u8) -> RequestId {
+/// Returns a request id whose first byte is `n`.
+pub(crate) fn request_id(n: u8) -> RequestId {
     let mut id = [0; 16];
     id[0] = n;
     RequestId(id)
 }
 
-pub(crate) fn order(model: &str, n: u8, max_tokens: u32) -> Generate {
+pub(crate) fn generate_order(model: &str, n: u8, max_tokens: u32) -> Generate {
     Generate {
         model: model.to_owned(),
         prompt: Some("two words".to_owned()),
         messages: None,
         max_tokens,
         stream: true,
-        request_id: request(n),
+        request_id: request_id(n),
         offset: 0,
         priority: 0,
         sampling: Default::default(),
@@ -90,39 +91,40 @@
     post(engine.server().address(), path, order).await.unwrap()
 }
 
-/// Status of a load order.
+/// Sends a load order and returns the status of its answer.
 pub(crate) async fn load(engine: &Engine, name: &str, fencing: u64) -> u16 {
     let order = LoadAdapter { lora_name: name.into(), lora_path: format!("w/{name}"), fencing };
     let answer = post(engine.server().address(), "/v1/load_lora_adapter", &order).await;
     answer.unwrap().status().as_u16()
 }
 
-/// Status of an unload order.
+/// Sends an unload order and returns the status of its answer.
 pub(crate) async fn unload(engine: &Engine, name: &str, fencing: u64) -> u16 {
     let order = UnloadAdapter { lora_name: name.into(), fencing };
     let answer = post(engine.server().address(), "/v1/unload_lora_adapter", &order).await;
     answer.unwrap().status().as_u16()
 }
 
-/// A stream read to its end.
+/// A stream that was read to its end.
 #[derive(Debug, Default)]
-pub(crate) struct Whole {
+pub(crate) struct ReceivedStream {
     pub(crate) chunks: Vec<Chunk>,
-    /// The stream said that it is complete. Only this tells: awc shows an
-    /// answer whose connection ended midway like one that ended well.
+    /// Whether the stream ended with `[DONE]`. Only this shows that it is
+    /// complete: awc reports an answer whose connection closed early like one
+    /// that ended properly.
     pub(crate) done: bool,
 }
 
-impl Whole {
+impl ReceivedStream {
     pub(crate) fn text(&self) -> String {
         self.chunks.iter().map(|chunk| chunk.choices[0].text.as_str()).collect()
     }
 }
 
-pub(crate) async fn read(mut answer: ClientResponse) -> Whole {
+pub(crate) async fn read_stream(mut answer: ClientResponse) -> ReceivedStream {
     use futures_util::StreamExt;
     let mut bytes = Vec::new();
-    let mut whole = Whole::default();
+    let mut stream = ReceivedStream::default();
     while let Some(part) = answer.next().await {
         let Ok(part) = part else {
             break;
@@ -131,9 +133,9 @@
     }
     for event in String::from_utf8(bytes).unwrap().split_terminator("\n\n") {
         match event.strip_prefix("data: ").unwrap() {
-            "[DONE]" => whole.done = true,
-            json => whole.chunks.push(serde_json::from_str(json).unwrap()),
+            "[DONE]" => stream.done = true,
+            json => stream.chunks.push(serde_json::from_str(json).unwrap()),
         }
     }
-    whole
+    stream
 }
--- a/kingcupbay_standin/tests/engine.rs
+++ b/kingcupbay_standin/tests/engine.rs
@@ -1,11 +1,14 @@
-//! The engine: answers, slots, batch, reports, and what it records.
+//! Tests of the engine: answers, slots, batch, reports and its record.
 #![allow(clippy::unwrap_used)]
 
 mod common;
 
 use std::time::Duration;
 
-use common::{any, client, engine, generate, get, load, order, post, read, request, unload};
+use common::{
+    any_port, client, engine, generate, generate_order, get, load, post, read_stream, request_id,
+    unload,
+};
 use futures_util::future::join;
 use kingcupbay_core::wire::engine::{Cancel, EventKind, Events, LoadReport, Message};
 use kingcupbay_standin::{
@@ -14,7 +17,7 @@
 };
 
 async fn cancel(engine: &Engine, n: u8) {
-    let order = Cancel { request_id: request(n) };
+    let order = Cancel { request_id: request_id(n) };
     let answer = post(engine.server().address(), "/v1/cancel", &order).await.unwrap();
     assert_eq!(answer.status(), 200);
 }
@@ -26,21 +29,24 @@
     events.events.into_iter().map(|event| (event.seq, event.kind, event.model)).collect()
 }
 
+/// Other tests detect wrong adapters, misrouted answers and missing tokens by
+/// the text of an answer. They would miss these if the text did not name model,
+/// request and offset.
 #[actix_rt::test]
-async fn answer_is_whole_and_names_model_request_and_offset() {
+async fn answer_is_complete_and_names_model_request_and_offset() {
     let engine = engine(|settings| settings.max_tokens = 5);
     assert_eq!(load(&engine, "rose@v1", 1).await, 200);
-    assert_eq!(token_text("rose@v1", request(0xab), 3), "rose@v1:3:ab000000 ");
-    let mut chat = order("rose@v1", 0xab, 4);
+    assert_eq!(token_text("rose@v1", request_id(0xab), 3), "rose@v1:3:ab000000 ");
+    let mut chat = generate_order("rose@v1", 0xab, 4);
     let text = chat.prompt.take().unwrap();
     chat.messages = Some(vec![Message { role: "user".into(), content: text }; 2]);
     let cases = [
-        (order("rose@v1", 1, 4), 4, "length", 2),
+        (generate_order("rose@v1", 1, 4), 4, "length", 2),
         (chat, 4, "length", 4),
-        (order("base", 3, 9), 5, "stop", 2),
+        (generate_order("base", 3, 9), 5, "stop", 2),
     ];
     for (order, tokens, reason, prompt) in cases {
-        let whole = read(generate(&engine, &order).await).await;
+        let whole = read_stream(generate(&engine, &order).await).await;
         assert!(whole.done);
         assert_eq!(whole.text(), answer_text(&order.model, order.request_id, 0..tokens));
         let offsets: Vec<_> = whole.chunks.iter().map(|chunk| chunk.choices[0].offset).collect();
@@ -55,32 +61,34 @@
     assert_eq!(engine.record().count(Outcome::Finished), 3);
 }
 
-/// A guest reads an itinerary with a gap or a doubled line: the connection
-/// went silent, the stream was taken up again at the wrong place.
+/// Guards against missing or duplicate tokens after a resume: a stream that is
+/// resumed at an offset must continue exactly there.
 #[actix_rt::test]
 async fn stream_resumes_at_any_offset() {
     let engine = engine(|_| {});
-    let whole = answer_text("base", request(1), 0..6);
+    let whole = answer_text("base", request_id(1), 0..6);
     for offset in 0..=6 {
-        let mut rest = order("base", 1, 6);
+        let mut rest = generate_order("base", 1, 6);
         rest.offset = offset;
-        let resumed = read(generate(&engine, &rest).await).await;
+        let resumed = read_stream(generate(&engine, &rest).await).await;
         assert!(resumed.done);
-        let text = answer_text("base", request(1), 0..offset) + &resumed.text();
+        let text = answer_text("base", request_id(1), 0..offset) + &resumed.text();
         assert_eq!(text, whole);
         let usage = resumed.chunks.last().unwrap().usage.unwrap();
         assert_eq!(usage.completion_tokens, 6, "usage counts the whole answer");
     }
 }
 
+/// Guards against orders that run although the model is not loaded, the order
+/// is malformed or no slot is free.
 #[actix_rt::test]
 async fn orders_that_cannot_run_are_refused() {
     let engine = engine(|settings| settings.slots = 1);
-    let mut whole = order("base", 1, 1);
+    let mut whole = generate_order("base", 1, 1);
     whole.stream = false;
-    let mut bare = order("base", 1, 1);
+    let mut bare = generate_order("base", 1, 1);
     bare.prompt = None;
-    for (order, status) in [(order("rose@v1", 1, 1), 404), (whole, 400), (bare, 400)] {
+    for (order, status) in [(generate_order("rose@v1", 1, 1), 404), (whole, 400), (bare, 400)] {
         assert_eq!(generate(&engine, &order).await.status(), status);
     }
     assert_eq!(load(&engine, "rose@v1", 1).await, 200);
@@ -97,21 +105,21 @@
     assert!(record.ran.is_empty());
 }
 
-/// An itinerary stops halfway: its adapter is evicted while it is generated.
-/// The engine refuses that and remembers the attempt for the test to find.
+/// Guards against an answer that stops halfway because its adapter is unloaded
+/// while it is generated. The engine refuses the unload and records the attempt.
 #[actix_rt::test]
 async fn adapter_in_use_is_not_unloaded() {
-    // A running request uses its adapter, and so does one that waits.
+    // Running and waiting requests both use their adapter.
     for (held, waits) in [("rose@v1", "base"), ("base", "rose@v1")] {
         let engine = engine(|settings| settings.batch_size = 1);
         load(&engine, "rose@v1", 1).await;
         engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 1 }).times(1));
-        let running = generate(&engine, &order(held, 1, 9)).await;
-        let waiting = generate(&engine, &order(waits, 2, 2)).await;
+        let running = generate(&engine, &generate_order(held, 1, 9)).await;
+        let waiting = generate(&engine, &generate_order(waits, 2, 2)).await;
         engine.wait_until(|record| record.ran.len() == 2 && record.ran[0].tokens == 1).await;
         assert_eq!(unload(&engine, "rose@v1", 1).await, 409);
         cancel(&engine, 1).await;
-        let (cancelled, whole) = join(read(running), read(waiting)).await;
+        let (cancelled, whole) = join(read_stream(running), read_stream(waiting)).await;
         assert!(!cancelled.done && whole.done);
         assert_eq!(unload(&engine, "rose@v1", 1).await, 200);
         let record = engine.record();
@@ -120,30 +128,32 @@
     }
 }
 
-/// A caller hangs up and its stream keeps a place in the batch for ever: the
-/// end of a connection has to end what it had asked for.
+/// Guards against a stream that stays in the batch forever after its caller
+/// disconnected: the end of a connection must end its stream.
 #[actix_rt::test]
 async fn stream_ends_with_its_connection() {
     let engine = engine(|settings| settings.batch_size = 1);
     engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 0 }).times(1));
-    let gone = generate(&engine, &order("base", 1, 3)).await;
+    let gone = generate(&engine, &generate_order("base", 1, 3)).await;
     engine.wait_until(|record| record.count(Outcome::Running) == 1).await;
     drop(gone);
     engine.wait_until(|record| record.count(Outcome::Dropped) == 1).await;
-    assert!(read(generate(&engine, &order("base", 2, 3)).await).await.done);
+    assert!(read_stream(generate(&engine, &generate_order("base", 2, 3)).await).await.done);
     assert_eq!(engine.load_report().running, 0);
 }
 
+/// Guards against a low-priority stream that enters the batch before one with
+/// a higher priority; equal priorities start in order of arrival.
 #[actix_rt::test]
 async fn batch_takes_the_highest_priority_first() {
     let engine = engine(|settings| settings.batch_size = 1);
     engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 0 }).times(1));
-    let _held = generate(&engine, &order("base", 0, 1)).await;
+    let _held = generate(&engine, &generate_order("base", 0, 1)).await;
     engine.wait_until(|record| record.count(Outcome::Running) == 1).await;
     engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 0 }));
     let mut waiting = Vec::new();
     for (n, priority) in [(1, 0), (2, 5), (3, -1), (4, 5)] {
-        let mut order = order("base", n, 1);
+        let mut order = generate_order("base", n, 1);
         order.priority = priority;
         waiting.push(generate(&engine, &order).await);
     }
@@ -159,26 +169,27 @@
     assert_eq!(engine.record().most_running, 1);
 }
 
-/// Two streams answer one request after a resume, and the guest sees both:
-/// a later stream of a request takes the place of the earlier one.
+/// Guards against two streams that both answer one request after a resume: a
+/// later stream of a request supersedes the earlier one.
 #[actix_rt::test]
 async fn resumed_stream_replaces_the_earlier_one() {
     let engine = engine(|_| {});
     engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 2 }).times(1));
-    let stalled = generate(&engine, &order("base", 1, 4)).await;
+    let stalled = generate(&engine, &generate_order("base", 1, 4)).await;
     engine.wait_until(|record| record.ran.first().is_some_and(|ran| ran.tokens == 2)).await;
-    let mut rest = order("base", 1, 4);
+    let mut rest = generate_order("base", 1, 4);
     rest.offset = 2;
-    let resumed = read(generate(&engine, &rest).await).await;
-    let first = read(stalled).await;
+    let resumed = read_stream(generate(&engine, &rest).await).await;
+    let first = read_stream(stalled).await;
     assert!(!first.done && resumed.done);
-    assert_eq!(first.text() + &resumed.text(), answer_text("base", request(1), 0..4));
+    assert_eq!(first.text() + &resumed.text(), answer_text("base", request_id(1), 0..4));
     assert_eq!(engine.record().ran[0].outcome, Outcome::Superseded);
 }
 
-/// A host that was given up on comes back and unloads an adapter that its
-/// successor has just loaded. An engine that checks refuses the old number;
-/// one that does not obeys, and the test sees it.
+/// Guards against a host that was declared dead, comes back and unloads an adapter
+/// that its successor has just loaded. An engine that checks fencing numbers
+/// refuses the old one; an engine that does not carries the order out and
+/// records it.
 #[actix_rt::test]
 async fn old_fencing_number_is_refused_or_recorded() {
     for fenced in [true, false] {
@@ -201,14 +212,15 @@
     }
 }
 
-/// Every guest waits again after an engine's restart: it came back empty,
-/// while the daemon still believes its adapters are loaded.
+/// After a restart an engine is empty while the daemon still assumes that its
+/// adapters are loaded. Guards against a stand-in that keeps state and so
+/// hides this failure.
 #[actix_rt::test]
 async fn restart_empties_the_engine() {
-    let weights = Weights::start(any(), Duration::from_secs(3600)).unwrap();
+    let weights = Weights::start(any_port(), Duration::from_secs(3600)).unwrap();
     let engine = engine(|settings| settings.weight_store = Some(weights.server().address()));
     engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 1 }));
-    let running = generate(&engine, &order("base", 1, 3)).await;
+    let running = generate(&engine, &generate_order("base", 1, 3)).await;
     engine.wait_until(|record| record.ran.first().is_some_and(|ran| ran.tokens == 1)).await;
     let loading = engine.server().add_rule(Rule::new(Fault::FailLoads).times(1));
     let orders = async {
@@ -235,15 +247,16 @@
     while weights.record().in_flight > 0 {
         actix_rt::task::yield_now().await;
     }
-    assert!(!read(running).await.done);
+    assert!(!read_stream(running).await.done);
     let report = LoadReport { incarnation: 8, slots: 8, ..LoadReport::default() };
     assert_eq!(engine.load_report(), report);
     assert_eq!(engine.record().count(Outcome::Cut), 1);
     assert!(events(&engine, 0).await.is_empty());
 }
 
-/// The daemon sends work to an engine that has unloaded the adapter: reports
-/// are old, and of the events one never came. The numbers show the gap.
+/// A daemon with old reports and a lost event sends requests to an engine that
+/// has unloaded the adapter. Checks that the stand-in can produce this, and
+/// that the event numbers show the gap.
 #[actix_rt::test]
 async fn reports_lag_and_events_are_lost() {
     let engine = engine(|_| {});
@@ -273,9 +286,11 @@
     assert_eq!(events(&engine, 3).await, shown[2..]);
 }
 
+/// Guards against two orders for one version that both fetch its weights, and
+/// against a load that succeeds although the weight store failed.
 #[actix_rt::test]
 async fn loads_go_through_the_weight_store_once() {
-    let weights = Weights::start(any(), Duration::ZERO).unwrap();
+    let weights = Weights::start(any_port(), Duration::ZERO).unwrap();
     let engine = engine(|settings| settings.weight_store = Some(weights.server().address()));
     let (first, second) = join(load(&engine, "a@1", 1), load(&engine, "a@1", 1)).await;
     assert_eq!((first, second), (200, 200));
@@ -287,8 +302,9 @@
     assert_eq!(engine.record().failed_loads, 1);
 }
 
-/// An upstream learns a caller's key, hidden in some header or body: the
-/// engine keeps every byte its sockets received for a test to search.
+/// An upstream must never receive a caller's API key, in any header or body.
+/// Tests check this by searching every byte that the engine's sockets received,
+/// so none may be missing from the recording.
 #[actix_rt::test]
 async fn every_byte_received_is_kept_while_recording() {
     let engine = engine(|_| {});
@@ -311,13 +327,14 @@
     }
 }
 
+/// Guards against a difference between `/state` and the handle's record.
 #[actix_rt::test]
-async fn state_is_shown_by_request() {
+async fn state_is_available_over_http() {
     let engine = engine(|_| {});
-    read(generate(&engine, &order("base", 1, 2)).await).await;
+    read_stream(generate(&engine, &generate_order("base", 1, 2)).await).await;
     let mut answer = get(engine.server().address(), "/state").await.unwrap();
     let record: EngineRecord = answer.json().await.unwrap();
     assert_eq!(record, engine.record());
     let ran = &record.ran[0];
-    assert_eq!((ran.request, ran.tokens, ran.outcome), (request(1), 2, Outcome::Finished));
+    assert_eq!((ran.request, ran.tokens, ran.outcome), (request_id(1), 2, Outcome::Finished));
 }
--- a/kingcupbay_standin/tests/fault.rs
+++ b/kingcupbay_standin/tests/fault.rs
@@ -1,4 +1,4 @@
-//! The faults: each on until cleared or for the next N, never by chance.
+//! Tests of the faults: each stays until cleared or hits a given number of times.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -10,7 +10,9 @@
 };
 
 use awc::error::SendRequestError;
-use common::{any, client, engine, generate, get, load, order, post, read, request};
+use common::{
+    any_port, client, engine, generate, generate_order, get, load, post, read_stream, request_id,
+};
 use futures_util::{
     StreamExt,
     future::{Either, join, select},
@@ -20,15 +22,17 @@
     Control, Fault, FaultOrder, Outcome, PlainService, Platform, Rule, Table, answer_text,
 };
 
-const CALL: &str = "/call/book";
+const CALL_PATH: &str = "/call/book";
 
 async fn call(address: SocketAddr) -> common::Answer {
-    post(address, CALL, &1).await
+    post(address, CALL_PATH, &1).await
 }
 
+/// Guards against rules that hit the wrong request: a rule counts matches of
+/// its path only, skips the first ones and stops after its number of hits.
 #[actix_rt::test]
-async fn rule_skips_hits_and_is_spent() {
-    let platform = Platform::start(any(), Duration::ZERO).unwrap();
+async fn rule_skips_then_hits_a_given_number_of_times() {
+    let platform = Platform::start(any_port(), Duration::ZERO).unwrap();
     let server = platform.server();
     let control = Control::new(server.address());
     let rule = Rule::new(Fault::Outage).path("/objects").skip(1).times(2);
@@ -49,9 +53,9 @@
     assert_eq!(platform.record().objects.gets, 2, "an outage has no effect");
 }
 
-/// A family is charged twice: the booking took effect, its answer was lost,
-/// and somebody took the silence for "not run". Each way to get no answer
-/// says how often the call ran, and so does each error.
+/// A call runs twice if a caller takes a lost answer for "not run" and repeats
+/// the call. Checks that each fault without an answer, and each with an error
+/// answer, runs the call exactly as often as documented.
 #[actix_rt::test]
 async fn missing_answer_may_or_may_not_have_run() {
     let cases = [
@@ -61,7 +65,7 @@
         (Fault::Outage, Some(503), 0),
     ];
     for (fault, status, runs) in cases {
-        let service = PlainService::start(any()).unwrap();
+        let service = PlainService::start(any_port()).unwrap();
         let address = service.server().address();
         service.server().add_rule(Rule::new(fault).times(1));
         let answer = call(address).await.ok();
@@ -71,9 +75,11 @@
     }
 }
 
+/// Guards against a silent request that runs, or is answered once the fault is
+/// cleared.
 #[actix_rt::test]
 async fn silent_request_is_never_answered_or_run() {
-    let service = PlainService::start(any()).unwrap();
+    let service = PlainService::start(any_port()).unwrap();
     let server = service.server();
     let id = server.add_rule(Rule::new(Fault::Silent).times(1));
     let silent = Box::pin(call(server.address()));
@@ -90,11 +96,12 @@
     assert_eq!(service.executions().total, 1);
 }
 
-/// A patch is refused as stale against itself: the table was slow, its
-/// caller gave up, and the write took effect afterwards all the same.
+/// A repeated write conflicts with itself if the table was slow, the caller
+/// gave up, and the first write took effect afterwards. Checks that a slow
+/// request takes effect without its caller.
 #[actix_rt::test]
 async fn slow_request_takes_effect_without_its_caller() {
-    let service = PlainService::start(any()).unwrap();
+    let service = PlainService::start(any_port()).unwrap();
     let server = service.server();
     let id = server.add_rule(Rule::new(Fault::Slow { millis: 20 }).times(1));
     let slow = Box::pin(call(server.address()));
@@ -102,9 +109,10 @@
     service.wait_for_executions(1).await;
 }
 
+/// Guards against a late answer that also delays the effect of its request.
 #[actix_rt::test]
 async fn late_answer_follows_its_effect() {
-    let service = PlainService::start(any()).unwrap();
+    let service = PlainService::start(any_port()).unwrap();
     let server = service.server();
     server.add_rule(Rule::new(Fault::LateAnswer { millis: 20 }).times(1));
     let late = Box::pin(call(server.address()));
@@ -115,15 +123,15 @@
     assert_eq!(late.await.unwrap().status(), 200);
 }
 
-/// Every guest of one entry waits, while a new visitor is served at once:
-/// something between the ends lost track of the open connections. Nothing
-/// sent on them arrives, and nothing ends them.
+/// A device between two hosts that loses its connection table leaves open
+/// connections silent, while new ones work. Checks that nothing sent on a
+/// frozen connection arrives, and that it is never closed.
 #[actix_rt::test]
 async fn frozen_connections_stay_silent_while_new_ones_work() {
-    let service = PlainService::start(any()).unwrap();
+    let service = PlainService::start(any_port()).unwrap();
     let server = service.server();
     let address = server.address();
-    let head = format!("POST {CALL} HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\n\r\n1");
+    let head = format!("POST {CALL_PATH} HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\n\r\n1");
     let mut open = TcpStream::connect(address).unwrap();
     open.write_all(head.as_bytes()).unwrap();
     service.wait_for_executions(1).await;
@@ -133,7 +141,7 @@
     assert_eq!(call(address).await.unwrap().status(), 200);
     control.clear_all().await.unwrap();
     assert_eq!(call(address).await.unwrap().status(), 200);
-    assert_eq!(service.executions().total, 3, "what came on the frozen one did not run");
+    assert_eq!(service.executions().total, 3, "the request on the frozen connection did not run");
     open.set_nonblocking(true).unwrap();
     let mut bytes = [0; 4096];
     while let Ok(count) = open.read(&mut bytes) {
@@ -141,24 +149,24 @@
     }
 }
 
-/// The same, but the far end gave the stream up, as after a resume: the
-/// silent connection must not be closed, or its reader would learn of it.
+/// Guards against a frozen connection that closes when its stream ends, as
+/// after a resume: the close would notify the reader.
 #[actix_rt::test]
 async fn frozen_connection_outlives_its_stream() {
     let engine = engine(|_| {});
     engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 2 }).times(1));
-    let mut frozen = generate(&engine, &order("base", 1, 3)).await;
+    let mut frozen = generate(&engine, &generate_order("base", 1, 3)).await;
     engine.wait_until(|record| record.ran.first().is_some_and(|ran| ran.tokens == 2)).await;
     engine.server().apply(FaultOrder::Freeze);
-    let mut rest = order("base", 1, 3);
+    let mut rest = generate_order("base", 1, 3);
     rest.offset = 2;
-    assert!(read(generate(&engine, &rest).await).await.done);
+    assert!(read_stream(generate(&engine, &rest).await).await.done);
     engine.server().apply(FaultOrder::Restart);
     while engine.server().connections() > 0 {
         actix_rt::task::yield_now().await;
     }
     let more = async { while frozen.next().await.is_some() {} };
-    let new = async { read(generate(&engine, &order("base", 2, 3)).await).await };
+    let new = async { read_stream(generate(&engine, &generate_order("base", 2, 3)).await).await };
     let Either::Right((whole, _)) = select(Box::pin(more), Box::pin(new)).await else {
         panic!("the frozen connection ended");
     };
@@ -166,12 +174,13 @@
     assert_eq!(engine.record().ran[0].outcome, Outcome::Superseded);
 }
 
-/// The platform's port refuses everybody for a while, then comes back at the
-/// same address. The control address stays, to clear it.
+/// The platform's port refuses all connections for a while and then accepts
+/// them again at the same address. Checks that no other process can take the
+/// port meanwhile, and that the control address stays open to clear the fault.
 #[actix_rt::test]
-async fn refused_port_comes_back() {
-    let mut table = Table::start(any()).unwrap();
-    let control = Control::new(table.server_mut().open_control(any()).unwrap());
+async fn refused_port_accepts_connections_again() {
+    let mut table = Table::start(any_port()).unwrap();
+    let control = Control::new(table.server_mut().open_control(any_port()).unwrap());
     let address = table.server().address();
     let read = serde_json::json!({"keys": []});
     let pooled = client();
@@ -190,7 +199,7 @@
     }
     assert!(Table::start(address).is_err(), "the port stays taken");
     control.clear(id).await.unwrap();
-    // The port opens when the accept loop runs next.
+    // The port opens when the accept loop runs the next time.
     while TcpStream::connect(address).is_err() {
         actix_rt::task::yield_now().await;
     }
@@ -198,9 +207,11 @@
     assert_eq!(table.record().reads, 2);
 }
 
+/// Guards against a restart that loses rows: it closes the connections of the
+/// table but keeps its data.
 #[actix_rt::test]
 async fn restart_of_the_table_keeps_its_rows() {
-    let table = Table::start(any()).unwrap();
+    let table = Table::start(any_port()).unwrap();
     let address = table.server().address();
     let writes = vec![Put { key: "a".into(), value: Some("1".into()) }];
     post(address, "/txn", &Txn { conditions: vec![], writes }).await.unwrap();
@@ -215,31 +226,31 @@
     assert_eq!(table.rows().len(), 1);
 }
 
-/// A verdict breaks off, or hangs, after some words: the engine's connection
-/// ended, or went silent. The words sent before it still arrive.
+/// A stream ends or hangs after some tokens when the engine's connection is
+/// closed or goes silent. Checks that the tokens sent before still arrive.
 #[actix_rt::test]
 async fn streams_are_cut_or_stalled_after_some_tokens() {
     let engine = engine(|_| {});
     let server = engine.server();
     server.add_rule(Rule::new(Fault::CutStreams { tokens: 3 }).times(1));
     server.add_rule(Rule::new(Fault::StallStreams { tokens: 2 }).skip(1).times(1));
-    let mut resumed = order("base", 1, 9);
+    let mut resumed = generate_order("base", 1, 9);
     resumed.offset = 4;
-    let cut = read(generate(&engine, &resumed).await).await;
-    assert_eq!((cut.text(), cut.done), (answer_text("base", request(1), 4..7), false));
-    let stalled = generate(&engine, &order("base", 2, 9)).await;
+    let cut = read_stream(generate(&engine, &resumed).await).await;
+    assert_eq!((cut.text(), cut.done), (answer_text("base", request_id(1), 4..7), false));
+    let stalled = generate(&engine, &generate_order("base", 2, 9)).await;
     engine.wait_until(|record| record.ran.len() == 2 && record.ran[1].tokens == 2).await;
     server.apply(FaultOrder::ClearAll);
-    let whole = read(generate(&engine, &order("base", 3, 9)).await).await;
-    assert_eq!((whole.text(), whole.done), (answer_text("base", request(3), 0..9), true));
-    assert_eq!(engine.record().ran[1].outcome, Outcome::Running, "stalled for good");
+    let whole = read_stream(generate(&engine, &generate_order("base", 3, 9)).await).await;
+    assert_eq!((whole.text(), whole.done), (answer_text("base", request_id(3), 0..9), true));
+    assert_eq!(engine.record().ran[1].outcome, Outcome::Running, "stalled permanently");
     drop(stalled);
     engine.wait_until(|record| record.ran[1].outcome == Outcome::Dropped).await;
     assert_eq!(engine.record().ran[0].outcome, Outcome::Cut);
 }
 
-/// The end of a connection is not the end of an answer: on the wire a cut
-/// stream lacks the last chunk, and a cancelled one has it without `[DONE]`.
+/// Guards against a cut stream that looks complete: on the wire it lacks the
+/// last HTTP chunk, while a cancelled stream has it, without `[DONE]`.
 #[actix_rt::test]
 async fn cut_stream_lacks_its_last_chunk() {
     let engine = engine(|_| {});
@@ -247,7 +258,7 @@
     engine.server().add_rule(Rule::new(Fault::CutStreams { tokens: 1 }).times(1));
     engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 1 }).skip(1).times(1));
     let raw = |n| {
-        let body = serde_json::to_string(&order("base", n, 3)).unwrap();
+        let body = serde_json::to_string(&generate_order("base", n, 3)).unwrap();
         let length = body.len();
         let head = format!(
             "POST /v1/completions HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n"
@@ -264,7 +275,9 @@
     let cut = raw(1).await.unwrap();
     let cancel = async {
         engine.wait_until(|record| record.ran.len() == 2 && record.ran[1].tokens == 1).await;
-        post(address, "/v1/cancel", &serde_json::json!({"request_id": request(2)})).await.unwrap();
+        post(address, "/v1/cancel", &serde_json::json!({"request_id": request_id(2)}))
+            .await
+            .unwrap();
     };
     let (cancelled, ()) = join(raw(2), cancel).await;
     let cancelled = cancelled.unwrap();
@@ -276,8 +289,10 @@
     assert_eq!(engine.record().count(Outcome::Cancelled), 1);
 }
 
+/// Guards against a fault on loads that fails more or fewer loads than its
+/// rule says.
 #[actix_rt::test]
-async fn next_loads_fail() {
+async fn given_number_of_loads_fails() {
     let engine = engine(|_| {});
     engine.server().add_rule(Rule::new(Fault::FailLoads).times(2));
     let mut statuses = Vec::new();
--- a/kingcupbay_standin/tests/platform.rs
+++ b/kingcupbay_standin/tests/platform.rs
@@ -1,11 +1,11 @@
-//! Table, objects, host list, weight store and plain service without faults.
+//! Tests of table, objects, host list, weight store and plain service without faults.
 #![allow(clippy::unwrap_used)]
 
 mod common;
 
 use std::time::Duration;
 
-use common::{any, client, get, post};
+use common::{any_port, client, get, post};
 use kingcupbay_core::wire::{
     fleet::{Host, Hosts},
     table::{Condition, Read, Row, Rows, Txn, TxnAnswer, Write},
@@ -33,9 +33,11 @@
     Row { key: key.into(), value: value.into(), revision }
 }
 
+/// Guards against a transaction that writes some of its rows although one of
+/// its conditions failed.
 #[actix_rt::test]
 async fn table_writes_all_or_nothing() {
-    let table = Table::start(any()).unwrap();
+    let table = Table::start(any_port()).unwrap();
     let address = table.server().address();
     let steps = [
         (txn(&[("a", 0)], &[("a", Some("1")), ("b", Some("1"))]), TxnAnswer::Committed),
@@ -56,9 +58,11 @@
     assert_eq!((table.record().committed, table.record().conflicts), (4, 2));
 }
 
+/// Guards against reads with duplicate, missing or unordered rows, and against
+/// ranges that include their end.
 #[actix_rt::test]
 async fn table_reads_keys_and_ranges_in_order() {
-    let table = Table::start(any()).unwrap();
+    let table = Table::start(any_port()).unwrap();
     table.txn(&txn(&[], &["d", "a", "c", "b"].map(|key| (key, Some("v")))));
     let range =
         |from: &str, to: &str, limit| Read::Range { from: from.into(), to: to.into(), limit };
@@ -80,9 +84,11 @@
     assert_eq!(table.record().reads, 6);
 }
 
+/// Guards against requests that reach the wrong part of the platform, and
+/// against counts that miss a request.
 #[actix_rt::test]
 async fn platform_serves_all_four_on_one_port() {
-    let platform = Platform::start(any(), MS).unwrap();
+    let platform = Platform::start(any_port(), MS).unwrap();
     let address = platform.server().address();
     let url = |path: &str| format!("http://{address}{path}");
     assert_eq!(get(address, "/objects/s/1").await.unwrap().status(), 404);
@@ -102,11 +108,12 @@
     assert_eq!(record.weights.taken["w"], 1);
 }
 
-/// A host is being taken away, but the list still shows it as live: a daemon
-/// that trusts the list sends work there. The list lags behind the truth.
+/// A host is leaving, but the list still shows it as live, so a daemon that
+/// trusts the list sends requests there. Checks that the list shows a change
+/// only after its lag.
 #[actix_rt::test]
 async fn host_list_shows_a_change_after_the_lag() {
-    let list = HostList::start(any()).unwrap();
+    let list = HostList::start(any_port()).unwrap();
     let address = list.server().address();
     let host = |name: &str, leaving| Host {
         name: name.parse().unwrap(),
@@ -117,7 +124,7 @@
     let before = Hosts { hosts: vec![host("h2", false), host("h1", false)] };
     control.set_hosts(&before).await.unwrap();
     list.set_lag(Duration::from_secs(300));
-    // Before the history begins, the oldest state shows.
+    // Before the history begins, the oldest state is shown.
     assert_eq!(list.shown(), Hosts::default());
     control.set_lag(Lag { millis: 0 }).await.unwrap();
     assert_eq!(list.shown().hosts, [host("h1", false), host("h2", false)]);
@@ -126,11 +133,12 @@
     assert_eq!(shown.hosts, [host("h1", true)]);
 }
 
-/// A family is charged twice: the same booking reaches the service twice and
-/// it books both times. The service does not deduplicate; the system has to.
+/// A call that is sent twice must be deduplicated by the system. Guards against
+/// a service that deduplicates by itself, or counts too few executions, and so
+/// hides the repetition.
 #[actix_rt::test]
 async fn service_counts_every_execution() {
-    let service = PlainService::start(any()).unwrap();
+    let service = PlainService::start(any_port()).unwrap();
     let address = service.server().address();
     let call = async |key: Option<&str>| {
         let mut request = client().post(format!("http://{address}/call/book/7"));
@@ -149,29 +157,31 @@
     assert_eq!((counts.total, counts.keys["k1"], counts.keys.len()), (3, 2, 1));
 }
 
+/// Guards against a weight store without a bandwidth limit, which would hide
+/// slow loads: eight loads run at full speed, sixteen take twice as long.
 #[test]
-fn loads_share_the_speed_of_eight() {
-    // Eight at once are at full speed, sixteen take twice as long.
+fn more_than_eight_loads_share_the_bandwidth() {
     for (loads, expected) in [(1, 250), (8, 250), (16, 500), (24, 750)] {
-        let mut sharing = SharedBandwidth::new(Duration::ZERO);
-        let marks: Vec<_> = (0..loads).map(|_| sharing.begin(MS, 250 * MS)).collect();
-        for mark in marks {
-            assert_eq!(sharing.time_left(MS, mark), expected * MS, "{loads} loads");
+        let mut bandwidth = SharedBandwidth::new(Duration::ZERO);
+        let targets: Vec<_> = (0..loads).map(|_| bandwidth.begin(MS, 250 * MS)).collect();
+        for target in targets {
+            assert_eq!(bandwidth.time_left(MS, target), expected * MS, "{loads} loads");
         }
     }
 }
 
+/// Guards against a load that keeps its low speed after others have ended.
 #[test]
 fn loads_speed_up_when_others_end() {
-    let mut sharing = SharedBandwidth::new(Duration::ZERO);
-    let mark = sharing.begin(Duration::ZERO, 250 * MS);
+    let mut bandwidth = SharedBandwidth::new(Duration::ZERO);
+    let target = bandwidth.begin(Duration::ZERO, 250 * MS);
     (1..16).for_each(|_| {
-        sharing.begin(Duration::ZERO, 250 * MS);
+        bandwidth.begin(Duration::ZERO, 250 * MS);
     });
     // 100 ms at half speed leave 200 ms of work.
-    assert_eq!(sharing.time_left(100 * MS, mark), 400 * MS);
-    (0..8).for_each(|_| sharing.end(100 * MS));
-    assert_eq!(sharing.in_flight(), 8);
-    assert_eq!(sharing.time_left(100 * MS, mark), 200 * MS);
-    assert_eq!(sharing.time_left(300 * MS, mark), Duration::ZERO);
+    assert_eq!(bandwidth.time_left(100 * MS, target), 400 * MS);
+    (0..8).for_each(|_| bandwidth.end(100 * MS));
+    assert_eq!(bandwidth.in_flight(), 8);
+    assert_eq!(bandwidth.time_left(100 * MS, target), 200 * MS);
+    assert_eq!(bandwidth.time_left(300 * MS, target), Duration::ZERO);
 }
--- a/kingcupbay_standin/tests/process.rs
+++ b/kingcupbay_standin/tests/process.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes of their own.
+//! Tests of the stand-ins as separate processes.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -9,10 +9,10 @@
     process::{Child, Command, Stdio},
 };
 
-use common::{any, get, post};
+use common::{any_port, get, post};
 use kingcupbay_standin::{Control, EngineRecord, ExecutionCounts, Fault, Rule};
 
-/// A stand-in's process, killed when the test ends.
+/// Process of a stand-in, killed when the test ends.
 struct Process {
     child: Child,
     line: String,
@@ -20,7 +20,7 @@
 
 impl Process {
     fn start(args: &[&str]) -> Process {
-        common::watch();
+        common::start_watchdog();
         let mut command = Command::new(env!("CARGO_BIN_EXE_kingcupbay_standin"));
         let mut child = command.args(args).stdout(Stdio::piped()).spawn().unwrap();
         let mut line = String::new();
@@ -37,7 +37,7 @@
         self.field(key).parse().unwrap()
     }
 
-    /// Exit status after a signal.
+    /// Sends a signal and returns the exit status.
     fn signal(mut self, name: &str) -> Option<i32> {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args(["-s", name, &id]).status().unwrap().success());
@@ -47,14 +47,16 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Fails when it has ended, as it should have.
+        // Fails if the process has already ended, as it should have.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
+/// Guards against a role that does not print its address, from which scripts
+/// read the port, or that ignores a signal to stop.
 #[actix_rt::test]
-async fn every_role_says_where_it_listens_and_stops_on_a_signal() {
+async fn every_role_prints_its_address_and_stops_on_a_signal() {
     let roles = ["table", "objects", "hosts", "weights", "platform", "engine", "service"];
     for (role, signal) in roles.into_iter().zip(["TERM", "INT"].into_iter().cycle()) {
         let process = Process::start(&[role, "--listen", "127.0.0.1:0"]);
@@ -65,6 +67,7 @@
     }
 }
 
+/// Guards against two processes that share a port and split its connections.
 #[actix_rt::test]
 async fn second_process_on_a_port_ends_with_an_error() {
     let first = Process::start(&["table"]);
@@ -73,8 +76,10 @@
     assert_eq!(second.child.wait().unwrap().code(), Some(1));
 }
 
+/// Guards against a control address that cannot set faults or read records of
+/// a process, also while its main port refuses connections.
 #[actix_rt::test]
-async fn faults_records_and_recordings_by_request() {
+async fn faults_and_records_are_available_over_http() {
     let service = Process::start(&["service", "--control", "127.0.0.1:0"]);
     let control = Control::new(service.address("control"));
     let address = service.address("address");
@@ -93,6 +98,7 @@
     assert_eq!(executions.total, 1);
 }
 
+/// Guards against an engine process that ignores its weight store address.
 #[actix_rt::test]
 async fn engine_process_loads_from_the_platform_process() {
     let platform = Process::start(&["platform", "--load", "1"]);
@@ -100,7 +106,7 @@
     let args = ["engine", "--weights", weights, "--fenced", "--slots", "1", "--gap", "0"];
     let engine = Process::start(&args);
     let address = engine.address("address");
-    assert_ne!(address, any());
+    assert_ne!(address, any_port());
     let order = serde_json::json!({"lora_name": "a@1", "lora_path": "w/a", "fencing": 3});
     let answer = post(address, "/v1/load_lora_adapter", &order).await.unwrap();
     assert_eq!(answer.status(), 200);
