--- a/kingcupbay_core/src/backlog.rs
+++ b/kingcupbay_core/src/backlog.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     time::{Instant, Span},
-    wire::ask::Load,
+    wire::metadata::Load,
 };
 
 /// Weight of the latest answer in the moving average of the service time.
--- a/kingcupbay_core/src/deployment/read_positions.rs
+++ b/kingcupbay_core/src/deployment/read_positions.rs
@@ -5,7 +5,7 @@
 //! ([`super::readers`]). Their usage reports tell the others how far they have read and
 //! what has changed.
 //!
-//! An entry knows a table as of a version of the store. A [`Reading`] of another entry
+//! An entry knows a table as of a version of the store. A [`ReadPosition`] of another entry
 //! advances that version only if no change is missing in between. An entry whose position
 //! has not been confirmed for [`Table::max_age`] reads the store itself, independently of
 //! the readers.
@@ -14,7 +14,7 @@
 
 use crate::{
     time::{Instant, Span},
-    wire::reading::{Changed, Reading, Table},
+    wire::read_position::{ReadPosition, Table, TableChange},
 };
 
 use super::waits::{ENTRIES_AGE_MAX, OPERATOR_AGE_MAX, STORE_ANSWER_MAX, UPSTREAMS_AGE_MAX};
@@ -38,7 +38,7 @@
 
     /// Returns whether an entry that lacks changes before `reading` must read them from
     /// the store. Otherwise another reader's usage report may carry them.
-    fn must_be_read(self, reading: &Reading) -> bool {
+    fn must_be_read(self, reading: &ReadPosition) -> bool {
         self == Table::Operator || reading.changes.len() >= CHANGES_PER_REPORT_MAX
     }
 }
@@ -58,7 +58,7 @@
     since: u64,
     /// Changes that this entry read from the store before another reported them, each
     /// with the number of usage reports that still have to carry it.
-    changes: VecDeque<(Changed, u32)>,
+    changes: VecDeque<(TableChange, u32)>,
 }
 
 /// Read positions of all tables that the entry follows.
@@ -89,7 +89,7 @@
         now: Instant,
         table: Table,
         version: u64,
-        changes: impl IntoIterator<Item = Changed>,
+        changes: impl IntoIterator<Item = TableChange>,
     ) {
         let progress = self.tables.entry(table).or_default();
         progress.on_own(now, version);
@@ -107,7 +107,7 @@
 
     /// Returns the read positions for the next usage report, of the tables that this
     /// entry has recently read itself.
-    pub fn report(&mut self, now: Instant) -> BTreeMap<Table, Reading> {
+    pub fn report(&mut self, now: Instant) -> BTreeMap<Table, ReadPosition> {
         let tables = self.tables.iter_mut();
         tables
             .filter_map(|(&table, progress)| Some((table, progress.report(now, table.max_age())?)))
@@ -120,8 +120,8 @@
         &mut self,
         now: Instant,
         table: Table,
-        reading: Reading,
-    ) -> Option<Vec<Changed>> {
+        reading: ReadPosition,
+    ) -> Option<Vec<TableChange>> {
         let progress = self.tables.entry(table).or_default();
         if progress.known < reading.since {
             if table.must_be_read(&reading) {
@@ -167,7 +167,7 @@
 
     /// Returns the read position for the next usage report, unless the last own read is
     /// as old as `limit`.
-    fn report(&mut self, now: Instant, limit: Span) -> Option<Reading> {
+    fn report(&mut self, now: Instant, limit: Span) -> Option<ReadPosition> {
         let (version, at) = self.own?;
         let age = now.since(at);
         if age >= limit {
@@ -181,7 +181,7 @@
         while self.changes.front().is_some_and(|(_, reports)| *reports == 0) {
             self.drop_oldest();
         }
-        Some(Reading { version, age, since, changes })
+        Some(ReadPosition { version, age, since, changes })
     }
 
     fn drop_oldest(&mut self) {
--- a/kingcupbay_core/src/placement.rs
+++ b/kingcupbay_core/src/placement.rs
@@ -17,7 +17,7 @@
 use crate::{
     deployment::model::{AdapterName, resident_version},
     time::{Instant, Span},
-    wire::sidecar::Pressure,
+    wire::sidecar::EngineLoadReport,
 };
 
 /// Factor above the mean load from which an engine counts as busy. A smaller factor
@@ -54,7 +54,7 @@
 /// One engine, as of its last load report.
 #[derive(Clone, Debug, Default)]
 struct EngineState {
-    pressure: Pressure,
+    pressure: EngineLoadReport,
     /// When the report arrived.
     reported: Option<Instant>,
     /// Requests sent to the engine since then.
@@ -72,11 +72,16 @@
 impl Placement {
     /// Applies a load report from an engine's sidecar. Returns whether the engine's
     /// resident adapters are known by now.
-    pub fn on_load_report(&mut self, now: Instant, engine: SocketAddr, pressure: Pressure) -> bool {
+    pub fn on_load_report(
+        &mut self,
+        now: Instant,
+        engine: SocketAddr,
+        pressure: EngineLoadReport,
+    ) -> bool {
         let before = self.engines.remove(&engine);
-        let held = pressure.held.or_else(|| before.and_then(|state| state.pressure.held));
+        let held = pressure.resident.or_else(|| before.and_then(|state| state.pressure.resident));
         let known = held.is_some();
-        let pressure = Pressure { held, ..pressure };
+        let pressure = EngineLoadReport { resident: held, ..pressure };
         self.engines.insert(engine, EngineState { pressure, reported: Some(now), sent: 0 });
         known
     }
@@ -100,7 +105,7 @@
 
     /// Returns the version of `name` that `engine` last reported as resident.
     pub fn resident_version(&self, engine: SocketAddr, name: &AdapterName) -> Option<u32> {
-        resident_version(self.engines.get(&engine)?.pressure.held.as_deref()?, name)
+        resident_version(self.engines.get(&engine)?.pressure.resident.as_deref()?, name)
     }
 
     /// Returns the best of `candidates` for a request of `name`.
--- a/kingcupbay_core/tests/admission.rs
+++ b/kingcupbay_core/tests/admission.rs
@@ -13,8 +13,8 @@
     deployment::model::{AdapterName, Engine, Model, ResidentModel},
     time::{Instant, Span},
     wire::{
-        ask::Size,
-        sidecar::{Refusal, Verdict, Want},
+        metadata::Size,
+        sidecar::{PermitRequest, Refusal, Verdict},
     },
 };
 
@@ -26,16 +26,16 @@
     AdapterName { model: "base".into(), adapter: Some(adapter.into()) }
 }
 
-fn permit_request(attempt: &str, adapter: &str) -> Want {
-    Want {
+fn permit_request(attempt: &str, adapter: &str) -> PermitRequest {
+    PermitRequest {
         attempt: attempt.into(),
         name: name(adapter),
         newest: None,
-        rank: 1,
+        priority: 1,
         size: Size { prompt: 1_000, output: 200 },
-        aim: Span::from_millis(800),
-        patience: Span::from_millis(1_600),
-        gap: None,
+        latency_target: Span::from_millis(800),
+        max_wait: Span::from_millis(1_600),
+        event_gap: None,
         entry: "127.0.0.1:1".parse().unwrap(),
     }
 }
@@ -194,7 +194,7 @@
 fn a_request_announces_a_newer_version() {
     let mut engine = engine();
     engine.on_report(at(0), report(0, &[("roses", 1)]));
-    let request = Want { newest: Some(2), ..permit_request("a", "roses") };
+    let request = PermitRequest { newest: Some(2), ..permit_request("a", "roses") };
     let actions = engine.on_permit_request(at(1), Ticket(1), request);
     assert_eq!(answers(&actions), []);
     assert_eq!(orders(&actions)[0].target, Target::Unload);
@@ -250,7 +250,7 @@
             permit_request(&format!("a{ticket}"), "roses"),
         );
     }
-    let urgent = Want { rank: 0, ..permit_request("urgent", "roses") };
+    let urgent = PermitRequest { priority: 0, ..permit_request("urgent", "roses") };
     assert_eq!(answers(&engine.on_permit_request(at(2), Ticket(6), urgent)), []);
     let prefilled = runs(report(0, &[("roses", 1)]), &[("a1", 1), ("a2", 1), ("a3", 1)]);
     assert_eq!(answers(&engine.on_report(at(250), prefilled.clone())), []);
@@ -266,7 +266,7 @@
     engine.on_report(at(0), report(0, &[("roses", 1)]));
     let sized = |attempt: &str, prompt| {
         let size = Size { prompt, output: 90_000 };
-        Want { size, ..permit_request(attempt, "roses") }
+        PermitRequest { size, ..permit_request(attempt, "roses") }
     };
     assert_eq!(
         answers(&engine.on_permit_request(at(1), Ticket(1), sized("a", 10))),
--- a/kingcupbayd/src/gateway/reply.rs
+++ b/kingcupbayd/src/gateway/reply.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use kingcupbay_core::{
     time::Span,
-    wire::{ask::Ask, error::Code},
+    wire::{error::Code, metadata::RequestMetadata},
 };
 use kingcupbay_platform::{answer, request};
 
@@ -56,12 +56,16 @@
 }
 
 /// The answer for a refusal.
-pub(crate) fn refuse(gateway: &Gateway, ask: &Ask, refusal: Refusal) -> Response<BoxBody> {
+pub(crate) fn refuse(
+    gateway: &Gateway,
+    ask: &RequestMetadata,
+    refusal: Refusal,
+) -> Response<BoxBody> {
     gateway.metrics.on_refusal(refusal.code);
     let mut builder = ResponseBuilder::new(refusal.status());
     builder.insert_header((header::CONTENT_TYPE, "application/json"));
     if let Some(attempt) = &ask.attempt {
-        builder.insert_header((request::ATTEMPT, attempt.as_str()));
+        builder.insert_header((request::ATTEMPT_ID, attempt.as_str()));
     }
     if let Some(after) = refusal.after {
         builder.insert_header((header::RETRY_AFTER, format!("{:.3}", after.as_secs_f64())));
@@ -88,7 +92,7 @@
     headers: &header::HeaderMap,
 ) -> ResponseBuilder {
     let mut builder = ResponseBuilder::new(status);
-    for (name, value) in answer::encode(headers) {
+    for (name, value) in answer::filter_headers(headers) {
         builder.append_header((name, value));
     }
     close_if_leaving(gateway, &mut builder);
