--- a/kingcupbay_standin/src/engine/mod.rs
+++ b/kingcupbay_standin/src/engine/mod.rs
@@ -41,9 +41,9 @@
 mod stream;
 pub(crate) mod text;
 
-/// Path of load orders, which rules that fail loads match too.
+/// Path of load orders; rules that fail loads are matched against it.
 const LOAD: &str = "/v1/load_lora_adapter";
-/// Path of events, which rules that lose events match too.
+/// Path of events; rules that lose events are matched against it.
 const EVENTS: &str = "/events";
 
 /// Settings of an engine.
@@ -206,8 +206,8 @@
             shared.state.borrow_mut().end_request(order.request_id, Outcome::Cancelled);
             Ok(call::empty(StatusCode::OK))
         }
-        (&Method::GET, "/load") => Ok(report(shared, call)),
-        (&Method::GET, EVENTS) => events(shared, call),
+        (&Method::GET, "/load") => Ok(answer_load(shared, call)),
+        (&Method::GET, EVENTS) => answer_events(shared, call),
         (&Method::GET, "/state") => Ok(call::json(shared.state.borrow().record())),
         _ => Err(call::unknown()),
     }
@@ -240,7 +240,7 @@
     }
 }
 
-fn report(shared: &Shared, call: &Call) -> Answer {
+fn answer_load(shared: &Shared, call: &Call) -> Answer {
     let lag = shared.lag(&call.path, |fault| match fault {
         Fault::LagReports { millis } => Some(millis),
         _ => None,
@@ -249,7 +249,7 @@
     call::json(&state.reports().load(tokio::time::Instant::now(), lag))
 }
 
-fn events(shared: &Shared, call: &Call) -> Result<Answer, Answer> {
+fn answer_events(shared: &Shared, call: &Call) -> Result<Answer, Answer> {
     let lag = shared.lag(&call.path, |fault| match fault {
         Fault::LagEvents { millis } => Some(millis),
         _ => None,
