--- a/kingcupbayd/tests/failure.rs
+++ b/kingcupbayd/tests/failure.rs
@@ -64,7 +64,7 @@
 /// Sets a fault on each engine, for one stream or load.
 async fn fail_once_on_each(fleet: &Fleet, fault: Fault) {
     for engine in &fleet.engines {
-        control(engine).set(Rule::new(fault).times(1)).await.unwrap();
+        control(engine).add_rule(Rule::new(fault).times(1)).await.unwrap();
     }
 }
 
@@ -234,7 +234,7 @@
     })
     .await;
     // The patch is the next write, and the fencing number the one after it.
-    control(&fleet.platform).set(Rule::new(Fault::Outage).path("/txn").skip(1)).await.unwrap();
+    control(&fleet.platform).add_rule(Rule::new(Fault::Outage).path("/txn").skip(1)).await.unwrap();
     let changes = [model_upstream("gpu-1", "upstream-1", &engine)];
     let number = common::apply(&fleet.entries[0], &changes).await;
     common::knows(&fleet.entries[0], number).await;
@@ -333,7 +333,10 @@
     let fleet = Fleet::start(1, 1, &["--first", "1", "--gap", "0"], SHORT_LIMITS).await;
     let run = run_request(&fleet).await;
     let engine = control(&fleet.engines[0]);
-    engine.set(Rule::new(Fault::Slow { millis: 300 }).path("/v1/load").times(1)).await.unwrap();
+    engine
+        .add_rule(Rule::new(Fault::Slow { millis: 300 }).path("/v1/load").times(1))
+        .await
+        .unwrap();
     let upstream = &fleet.upstreams[0];
     let first = send_run(upstream, &run);
     let second = async {
@@ -377,7 +380,7 @@
     second.clear_all().await.unwrap();
     assert_whole(&answer(&fleet).await);
     for engine in &fleet.engines {
-        control(engine).set(Rule::new(Fault::FailLoads)).await.unwrap();
+        control(engine).add_rule(Rule::new(Fault::FailLoads)).await.unwrap();
     }
     let body = completion("tasting@v2", TOKENS);
     let refused = finish(ask(&fleet.entries[0], "/v1/completions"), &body).await;
--- a/kingcupbayd/tests/once.rs
+++ b/kingcupbayd/tests/once.rs
@@ -10,7 +10,7 @@
     service_upstream, standin, until,
 };
 use kingcupbay_core::config::change::Change;
-use kingcupbay_standin::{Executions, Fault, Rule};
+use kingcupbay_standin::{ExecutionCounts, Fault, Rule};
 use serde_json::json;
 
 /// A platform, one service behind one upstream daemon, and an entry.
@@ -66,14 +66,14 @@
 
     /// Returns how often the service executed the call with this key.
     async fn executions(&self, key: &str) -> u64 {
-        let counts: Executions = control(&self.service).get("/executions").await.unwrap();
+        let counts: ExecutionCounts = control(&self.service).get("/executions").await.unwrap();
         counts.keys.get(key).copied().unwrap_or(0)
     }
 
     /// Sets a fault for one transaction of the table, after `skip` others.
     async fn fail_table(&self, fault: Fault, skip: u32) {
         let rule = Rule::new(fault).path("/txn").skip(skip).times(1);
-        control(&self.platform).set(rule).await.unwrap();
+        control(&self.platform).add_rule(rule).await.unwrap();
     }
 
     /// Starts another upstream daemon on the host; returns the old one.
@@ -94,7 +94,7 @@
 
     /// Sets a fault for one call of the service.
     async fn fail_service(&self, fault: Fault) {
-        control(&self.service).set(Rule::new(fault).path("/call").times(1)).await.unwrap();
+        control(&self.service).add_rule(Rule::new(fault).path("/call").times(1)).await.unwrap();
     }
 }
 
@@ -136,7 +136,7 @@
 async fn a_call_without_the_table_is_refused_as_not_run() {
     let setup = Setup::start().await;
     let rule = Rule::new(Fault::Outage).path("/txn");
-    control(&setup.platform).set(rule).await.unwrap();
+    control(&setup.platform).add_rule(rule).await.unwrap();
     let refused = setup.call("a").await;
     assert_eq!((refused.status, refused.code().as_str()), (503, "store_down"));
     assert_eq!((refused.ran().as_str(), refused.retry_after), ("not_run", Some(1)));
@@ -151,7 +151,7 @@
 #[actix_rt::test]
 async fn a_first_call_without_the_table_is_refused_soon() {
     let setup = Setup::start_without_call().await;
-    control(&setup.platform).set(Rule::new(Fault::Outage)).await.unwrap();
+    control(&setup.platform).add_rule(Rule::new(Fault::Outage)).await.unwrap();
     let refused =
         tokio::time::timeout(common::PATIENCE, setup.call_with("a", "600000", "seat")).await;
     let refused = refused.unwrap();
@@ -185,7 +185,7 @@
 #[actix_rt::test]
 async fn a_call_that_was_not_sent_releases_its_key() {
     let setup = Setup::start().await;
-    control(&setup.service).set(Rule::new(Fault::Refuse)).await.unwrap();
+    control(&setup.service).add_rule(Rule::new(Fault::Refuse)).await.unwrap();
     let refused = setup.call("a").await;
     assert_eq!((refused.status, refused.code().as_str()), (502, "upstream_failed"));
     assert_eq!((refused.ran().as_str(), refused.retry_after), ("not_run", Some(1)));
