--- a/kingcupbay_soak/src/callers.rs
+++ b/kingcupbay_soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers, each with a connection that it keeps as long as it can.
+//! Callers, each with a connection that it reuses as long as possible.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,92 +13,92 @@
 
 use crate::{
     fleet::Fleet,
-    operator::{CLUB, GUESTS, TIMEOUT, WINERY, guest_key, lasting_key},
+    operator::{CLUB, GUESTS, TIMEOUT_MS, WINERY, guest_key, permanent_key},
     sent::{Answer, End, Kind, Sent},
 };
 
-/// The adapters that callers name: more than two engines have places for, so that
-/// they come and go when the third is away.
+/// Adapters that callers name: more than two engines have slots for, so that
+/// adapters are loaded and evicted while the third engine is away.
 pub const ADAPTERS: [&str; 7] =
     ["roses", "tulips", "irises", "asters", "lilies", "violets", "peonies"];
 
-/// A caller waits this much longer than it says, so that it sees a late answer.
-const SPARE: Duration = Duration::from_secs(4);
+/// Time that a caller waits past its deadline, so that it sees a late answer.
+const EXTRA_WAIT: Duration = Duration::from_secs(4);
 
-/// Part of the requests, in percent, whose caller leaves soon.
-const LEAVERS: u64 = 5;
+/// Share of the ordinary requests whose caller leaves early.
+const LEAVERS_PERCENT: u64 = 5;
 
-/// Prompt and output tokens of the club's requests.
+/// Prompt and output tokens of a request of [`CLUB`].
 const CLUB_TOKENS: (u64, u64) = (700, 300);
 
-/// Prompt and output tokens of the other requests.
+/// Prompt and output tokens of any other request.
 const TOKENS: (u64, u64) = (60, 40);
 
-/// Everything that callers share.
-pub struct Office {
-    /// The fleet that they call.
+/// State shared by all callers.
+pub struct Context {
+    /// The fleet that they send requests to.
     pub fleet: Fleet,
-    /// What they sent, in that order.
+    /// Requests in the order in which they were sent.
     pub sent: RefCell<Vec<Sent>>,
-    /// The round of faults.
+    /// Current round; 0 between rounds.
     pub round: Cell<u32>,
-    /// They send nothing new.
-    pub over: Cell<bool>,
+    /// Set at the end of the run: callers send no further requests.
+    pub finished: Cell<bool>,
 }
 
 /// One caller.
 pub struct Caller {
-    office: Rc<Office>,
+    context: Rc<Context>,
     name: String,
     /// The connection of the last request, if it can carry another.
     link: Option<Link>,
     random: Random,
-    /// The entry that it calls; the next one after a failure.
+    /// Index of the entry that it calls; the next one after a failure.
     entry: usize,
 }
 
-/// What a caller asks for.
+/// Description of a request to send.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct Spec {
     /// The kind of request.
     pub kind: Kind,
-    /// Whose key it carries.
+    /// The organisation whose key it carries.
     pub organisation: &'static str,
-    /// The key.
+    /// The access key.
     pub key: String,
-    /// When the caller leaves.
-    pub patience: Duration,
-    /// The adapter of a stream; any if it is `None`.
+    /// Time after which the caller gives up.
+    pub leave_after: Duration,
+    /// Adapter of a stream; drawn at random if `None`.
     pub adapter: Option<&'static str>,
 }
 
-impl Wish {
-    /// A request of the winery that is waited for.
-    pub fn new(kind: Kind) -> Wish {
-        Wish {
+impl Spec {
+    /// A request of [`WINERY`] whose caller waits for the answer.
+    pub fn new(kind: Kind) -> Spec {
+        Spec {
             kind,
             organisation: WINERY,
-            key: lasting_key(WINERY),
-            patience: Duration::from_millis(TIMEOUT) + SPARE,
+            key: permanent_key(WINERY),
+            leave_after: Duration::from_millis(TIMEOUT_MS) + EXTRA_WAIT,
             adapter: None,
         }
     }
 
-    /// A request with the guests' key of configuration `number`.
-    pub fn guest(number: u64) -> Wish {
-        Wish { organisation: GUESTS, key: guest_key(number), ..Wish::new(Kind::Guest) }
+    /// A request of [`GUESTS`] with the key of configuration `number`.
+    pub fn guest(number: u64) -> Spec {
+        Spec { organisation: GUESTS, key: guest_key(number), ..Spec::new(Kind::Guest) }
     }
 
-    fn club() -> Wish {
-        Wish { organisation: CLUB, key: lasting_key(CLUB), ..Wish::new(Kind::Seats) }
+    fn club() -> Spec {
+        Spec { organisation: CLUB, key: permanent_key(CLUB), ..Spec::new(Kind::Seats) }
     }
 }
 
 impl Caller {
-    /// A caller that begins with `entry`.
-    pub fn new(office: &Rc<Office>, name: &str, entry: usize, seed: u64) -> Caller {
+    /// Creates a caller that first calls `entry`.
+    pub fn new(context: &Rc<Context>, name: &str, entry: usize, seed: u64) -> Caller {
         Caller {
-            office: office.clone(),
+            context: context.clone(),
             name: name.to_owned(),
             link: None,
             random: Random::new(seed),
@@ -106,78 +106,78 @@
         }
     }
 
-    /// Sends requests of all ordinary kinds until it is told to stop.
-    pub async fn roam(mut self) {
-        while !self.office.over.get() {
+    /// Sends requests of all ordinary kinds until the run ends.
+    pub async fn send_ordinary_requests(mut self) {
+        while !self.context.finished.get() {
             let kind = Kind::ORDINARY[self.random.below(4) as usize];
-            let mut wish = Wish::new(kind);
-            if self.random.below(100) < LEAVERS {
-                wish.patience = Duration::from_millis(5 + self.random.below(150));
+            let mut spec = Spec::new(kind);
+            if self.random.below(100) < LEAVERS_PERCENT {
+                spec.leave_after = Duration::from_millis(5 + self.random.below(150));
             }
-            let sent = self.ask(wish).await;
-            self.move_on(&sent);
-            self.pause(5, 40).await;
+            let sent = self.send(spec).await;
+            self.change_entry_after_failure(&sent);
+            self.sleep_between(5, 40).await;
         }
     }
 
-    /// Sends more of the club's requests than its limit allows.
-    pub async fn press(mut self) {
-        while !self.office.over.get() {
-            let sent = self.ask(Wish::club()).await;
-            self.move_on(&sent);
-            self.pause(20, 60).await;
+    /// Sends more requests of [`CLUB`] than its limit allows, until the run ends.
+    pub async fn exceed_limit(mut self) {
+        while !self.context.finished.get() {
+            let sent = self.send(Spec::club()).await;
+            self.change_entry_after_failure(&sent);
+            self.sleep_between(20, 60).await;
         }
     }
 
-    /// Sends the guests' keys of the newest and of older configurations to one
-    /// entry, one at a time.
-    pub async fn watch(mut self) {
-        while !self.office.over.get() {
-            let newest = self.office.fleet.operator.number();
+    /// Sends requests with the [`GUESTS`] keys of the newest and of older
+    /// configurations to one entry, one at a time, until the run ends.
+    pub async fn check_guest_keys(mut self) {
+        while !self.context.finished.get() {
+            let newest = self.context.fleet.operator.number();
             let number = newest.saturating_sub(self.random.below(4)).max(1);
-            self.ask(Wish::guest(number)).await;
-            self.pause(10, 30).await;
+            self.send(Spec::guest(number)).await;
+            self.sleep_between(10, 30).await;
         }
     }
 
-    /// Sends one request and waits for its end.
-    pub async fn ask(&mut self, wish: Wish) -> Sent {
-        let office = self.office.clone();
-        let sent = self.note(&wish);
-        let place = {
-            let mut all = office.sent.borrow_mut();
+    /// Sends one request, waits for its end and records both.
+    pub async fn send(&mut self, spec: Spec) -> Sent {
+        let context = self.context.clone();
+        let sent = self.record(&spec);
+        let index = {
+            let mut all = context.sent.borrow_mut();
             all.push(sent.clone());
             all.len() - 1
         };
         let exchange = self.exchange(&sent);
-        let end = tokio::time::timeout(wish.patience, exchange).await.unwrap_or(End::Left);
-        let ended = &mut office.sent.borrow_mut()[place];
-        ended.newest = office.fleet.operator.number();
+        let end = tokio::time::timeout(spec.leave_after, exchange).await.unwrap_or(End::Left);
+        let ended = &mut context.sent.borrow_mut()[index];
+        ended.newest = context.fleet.operator.number();
         ended.end = Some(end);
         ended.clone()
     }
 
-    /// Asks for a tour with `adapter`.
-    pub async fn ask_for(&mut self, adapter: &'static str) -> Sent {
-        self.ask(Wish { adapter: Some(adapter), ..Wish::new(Kind::Tour) }).await
+    /// Sends a resumable stream request ([`Kind::Tour`]) for `adapter`.
+    pub async fn send_stream(&mut self, adapter: &'static str) -> Sent {
+        self.send(Spec { adapter: Some(adapter), ..Spec::new(Kind::Tour) }).await
     }
 
-    fn note(&mut self, wish: &Wish) -> Sent {
-        let office = &self.office;
-        let (prompt, output) = tokens(wish.organisation);
-        let at = office.sent.borrow().len();
-        let kind = wish.kind;
+    fn record(&mut self, spec: &Spec) -> Sent {
+        let context = &self.context;
+        let (prompt, output) = token_counts(spec.organisation);
+        let at = context.sent.borrow().len();
+        let kind = spec.kind;
         let any = ADAPTERS[self.random.below(ADAPTERS.len() as u64) as usize];
-        let adapter = wish.adapter.unwrap_or(any);
-        let host = &office.fleet.entries[self.entry];
+        let adapter = spec.adapter.unwrap_or(any);
+        let host = &context.fleet.entries[self.entry];
         Sent {
             attempt: format!("{}-{at}", self.name),
             kind,
-            organisation: wish.organisation,
-            key: wish.key.clone(),
+            organisation: spec.organisation,
+            key: spec.key.clone(),
             entry: self.entry,
             incarnation: host.daemon.borrow().incarnation(),
-            round: office.round.get(),
+            round: context.round.get(),
             path: format!("{}{}?at={at}", kind.prefix(), self.random.below(1_000)),
             body: match kind {
                 Kind::Seats | Kind::Guest => String::new(),
@@ -195,13 +195,13 @@
         let kept = self.link.take().filter(Link::is_clean);
         let link = match kept {
             Some(link) => Ok(link),
-            None => match self.office.fleet.entries[sent.entry].callers() {
+            None => match self.context.fleet.entries[sent.entry].caller_address() {
                 Some(address) => Link::open(address).await,
                 None => return End::Unsent,
             },
         };
         let Ok(mut link) = link else { return End::Unsent };
-        match whole(&mut link, sent).await {
+        match exchange_whole(&mut link, sent).await {
             Ok(answer) => {
                 self.link = Some(link).filter(Link::is_reusable);
                 End::Answered(answer)
@@ -210,22 +210,22 @@
         }
     }
 
-    /// After a failure the balancer sends a caller's next connection to
-    /// another entry.
-    fn move_on(&mut self, sent: &Sent) {
+    /// Switches to the next entry after a failure, as the balancer does with a
+    /// caller's next connection.
+    fn change_entry_after_failure(&mut self, sent: &Sent) {
         if matches!(sent.end, Some(End::Broken(_) | End::Unsent)) {
-            self.entry = (self.entry + 1) % self.office.fleet.entries.len();
+            self.entry = (self.entry + 1) % self.context.fleet.entries.len();
         }
     }
 
-    async fn pause(&mut self, low: u64, high: u64) {
+    async fn sleep_between(&mut self, low: u64, high: u64) {
         let time = low + self.random.below(high - low + 1);
         tokio::time::sleep(Duration::from_millis(time)).await;
     }
 }
 
-/// One request and its whole answer.
-async fn whole(link: &mut Link, sent: &Sent) -> Result<Answer, LinkError> {
+/// Sends one request and reads its whole answer.
+async fn exchange_whole(link: &mut Link, sent: &Sent) -> Result<Answer, LinkError> {
     let body = sent.body.as_bytes();
     let head = link.exchange(sent.kind.method(), &sent.path, headers(sent), body).await?;
     let mut bytes = Vec::new();
@@ -246,13 +246,13 @@
     let asked = Asked {
         attempt: &sent.attempt,
         key: &sent.key,
-        deadline: TIMEOUT,
-        tokens: tokens(sent.organisation),
+        deadline: TIMEOUT_MS,
+        tokens: token_counts(sent.organisation),
         adapter: sent.adapter.as_deref(),
     };
     asked.headers()
 }
 
-fn tokens(organisation: &str) -> (u64, u64) {
+fn token_counts(organisation: &str) -> (u64, u64) {
     if organisation == CLUB { CLUB_TOKENS } else { TOKENS }
 }
--- a/kingcupbay_soak/src/daemon.rs
+++ b/kingcupbay_soak/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon as a process of its own.
+//! A daemon run as a separate process.
 
 use std::{
     collections::BTreeMap,
@@ -12,52 +12,53 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// Where daemons come from and leave their logs.
+/// Program of the daemons and folder of their settings and logs.
 #[derive(Clone, Debug)]
-pub struct Workshop {
-    /// The daemon's program.
+pub struct DaemonFiles {
+    /// Path of the daemon's program.
     pub program: PathBuf,
-    /// Settings and logs of this run.
+    /// Folder for the settings and logs of this run.
     pub folder: PathBuf,
 }
 
-/// A daemon and the process that it runs in; killed when dropped.
+/// A daemon and its process, which is killed on drop. Methods that return an
+/// error fail when a file cannot be written or the process not be controlled.
 pub struct Daemon {
     host: String,
-    workshop: Workshop,
+    files: DaemonFiles,
     settings: PathBuf,
     process: Option<Process>,
-    /// How often it was started.
+    /// Number of starts.
     incarnation: u32,
     paused: bool,
 }
 
 struct Process {
     child: Child,
-    /// Its line about listening, once it is there.
+    /// Receives the log line with its listening addresses.
     listens: Receiver<String>,
-    /// Addresses of that line, by name; empty until it is there.
+    /// Addresses of that line, by name; empty until it has been received.
     listening: BTreeMap<String, SocketAddr>,
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Only ever the child of this very handle; one that has ended already
-        // makes both fail, which changes nothing.
+        // Both calls only concern the child of this handle; they fail harmlessly
+        // if it has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
 impl Daemon {
-    /// A daemon with `settings` that does not run yet.
-    pub fn new(workshop: &Workshop, host: &str, settings: &str) -> io::Result<Daemon> {
-        fs::create_dir_all(&workshop.folder)?;
-        let path = workshop.folder.join(format!("{host}.ini"));
+    /// Writes the `settings` of a daemon, which is not started yet.
+    pub fn new(files: &DaemonFiles, host: &str, settings: &str) -> io::Result<Daemon> {
+        fs::create_dir_all(&files.folder)?;
+        let path = files.folder.join(format!("{host}.ini"));
         fs::write(&path, settings)?;
         Ok(Daemon {
             host: host.to_owned(),
-            workshop: workshop.clone(),
+            files: files.clone(),
             settings: path,
             process: None,
             incarnation: 0,
@@ -65,17 +66,17 @@
         })
     }
 
-    /// Its host.
+    /// Name of its host.
     pub fn host(&self) -> &str {
         &self.host
     }
 
-    /// How often it was started.
+    /// Number of starts so far.
     pub fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
-    /// An address from its line about listening.
+    /// Listening address called `name`, once the daemon has logged it.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         self.process.as_ref()?.listening.get(name).copied()
     }
@@ -84,19 +85,19 @@
     pub fn start(&mut self) -> io::Result<()> {
         self.incarnation += 1;
         let log = format!("{}-{}.log", self.host, self.incarnation);
-        let log = File::create(self.workshop.folder.join(log))?;
-        let mut child = Command::new(&self.workshop.program)
+        let log = File::create(self.files.folder.join(log))?;
+        let mut child = Command::new(&self.files.program)
             .arg("--config")
             .arg(&self.settings)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .spawn()?;
-        let listens = keep_lines(&mut child, log);
+        let listens = copy_log(&mut child, log);
         self.process = Some(Process { child, listens, listening: BTreeMap::new() });
         Ok(())
     }
 
-    /// Whether it listens by now.
+    /// Whether it already listens.
     pub fn listens(&mut self) -> bool {
         let Some(process) = &mut self.process else { return false };
         if let Ok(line) = process.listens.try_recv() {
@@ -105,19 +106,19 @@
         !process.listening.is_empty()
     }
 
-    /// Ends it without warning.
+    /// Kills the process.
     pub fn kill(&mut self) {
         self.process = None;
         self.paused = false;
     }
 
-    /// Stops the process where it is, until [`Daemon::resume`].
+    /// Suspends the process until [`Daemon::resume`].
     pub fn pause(&mut self) -> io::Result<()> {
         self.paused = true;
         self.signal(Signal::STOP)
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process.
     pub fn resume(&mut self) -> io::Result<()> {
         if !std::mem::take(&mut self.paused) {
             return Ok(());
@@ -125,17 +126,17 @@
         self.signal(Signal::CONT)
     }
 
-    /// Tells it that its settings may have changed.
+    /// Asks the daemon to reload its settings.
     pub fn reload(&self) -> io::Result<()> {
         self.signal(Signal::HUP)
     }
 
-    /// Asks it to stop as planned.
+    /// Asks the daemon for a graceful stop.
     pub fn terminate(&self) -> io::Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// Whether the process has ended by itself; it is forgotten then.
+    /// Whether the process has ended; if so, its handle is dropped.
     pub fn has_ended(&mut self) -> io::Result<bool> {
         let Some(process) = &mut self.process else { return Ok(true) };
         let ended = process.child.try_wait()?.is_some();
@@ -153,14 +154,15 @@
     }
 }
 
-/// Copies the child's lines to `log`; the receiver gets the one on listening.
-fn keep_lines(child: &mut Child, mut log: File) -> Receiver<String> {
+/// Copies the child's output to `log`; the receiver gets the line with the
+/// listening addresses.
+fn copy_log(child: &mut Child, mut log: File) -> Receiver<String> {
     let (sender, receiver) = channel();
     let Some(output) = child.stdout.take() else { return receiver };
     std::thread::spawn(move || {
         for line in BufReader::new(output).lines().map_while(Result::ok) {
             if line.contains("event=listening") {
-                // Nobody waits any more for a daemon that was given up.
+                // The receiver is gone if the daemon has been killed meanwhile.
                 let _ = sender.send(line.clone());
             }
             if writeln!(log, "{line}").is_err() {
@@ -178,7 +180,7 @@
         .collect()
 }
 
-/// The daemon's program beside this one.
-pub fn beside(own: &Path) -> PathBuf {
+/// Path of the daemon's program, in the same folder as this one.
+pub fn daemon_program(own: &Path) -> PathBuf {
     own.with_file_name("kingcupbayd")
 }
--- a/kingcupbay_soak/src/fleet.rs
+++ b/kingcupbay_soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and daemons of one run, with a proxy on each way between them.
+//! Stand-ins and daemons of one run, with a proxy on each path between them.
 
 use std::{
     cell::{Cell, RefCell},
@@ -12,61 +12,61 @@
 use kingcupbay_standin::{Registry, Runner, RunnerSettings};
 
 use crate::{
-    daemon::{Daemon, Workshop},
+    daemon::{Daemon, DaemonFiles},
     operator::Operator,
-    proxy::{Path, Proxy},
+    proxy::{Flows, Proxy},
 };
 
-/// Places for adapters of each engine.
-pub const PLACES: usize = 3;
+/// Adapter slots per engine.
+pub const ENGINE_SLOTS: usize = 3;
 
-/// Events of each stream.
-pub const EVENTS: u64 = 20;
+/// Events per stream.
+pub const STREAM_EVENTS: u64 = 20;
 
-/// Pause between two events.
-const PAUSE: Duration = Duration::from_millis(15);
+/// Pause between two events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(15);
 
-/// How soon the platform starts a process again that has ended.
-const RESTART: Duration = Duration::from_millis(150);
+/// Delay after which a process that has ended is restarted, as by the platform.
+const RESTART_DELAY: Duration = Duration::from_millis(150);
 
-/// Pause between two looks at a process.
-const LOOK: Duration = Duration::from_millis(5);
+/// Pause between two polls of a process.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Tries to find a port that is free at every engine's address.
-const PORT_TRIES: u32 = 20;
+/// Attempts to find a port that is free at the address of every engine.
+const MAX_PORT_TRIES: u32 = 20;
 
-/// How many of each there are.
+/// Number of daemons and upstreams of each kind.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     /// Entries.
     pub entries: usize,
-    /// Engines, each with a daemon beside it.
+    /// Engines, each with a sidecar.
     pub engines: usize,
     /// Plain services.
-    pub desks: usize,
+    pub services: usize,
 }
 
-/// A daemon with the ways to it and from it.
+/// A daemon and the proxies on the paths to it and from it.
 pub struct Host {
     /// The daemon.
     pub daemon: RefCell<Daemon>,
-    /// From it to the store.
+    /// Proxy from the daemon to the store.
     pub store: Proxy,
-    /// From other daemons to it.
+    /// Proxy from other daemons to this one.
     pub peers: Proxy,
-    /// It is not started again; the run is over.
-    over: Cell<bool>,
+    /// Set at the end of the run: the daemon is not restarted.
+    finished: Cell<bool>,
 }
 
-/// An upstream with the way to it.
+/// An upstream and the proxy on the path to it.
 pub struct Upstream {
-    /// Its id.
+    /// Id under which it is registered.
     pub id: String,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: &'static str,
-    /// The stand-in.
+    /// The stand-in that serves it.
     pub runner: Runner,
-    /// Where it is registered.
+    /// Proxy whose address is registered.
     pub proxy: Proxy,
     /// Whether it is registered as leaving.
     pub leaving: Cell<bool>,
@@ -74,48 +74,48 @@
 
 /// All processes and stand-ins of one run.
 pub struct Fleet {
-    /// The platform's store.
+    /// Stand-in of the platform's store.
     pub store: Registry,
-    /// What the operator wrote.
+    /// Configurations and versions that the operator has written.
     pub operator: Operator,
     /// Entries.
     pub entries: Vec<Rc<Host>>,
-    /// Daemons beside engines, in the order of [`Fleet::engines`].
+    /// Sidecars, in the order of [`Fleet::engines`].
     pub sidecars: Vec<Rc<Host>>,
     /// Engines.
     pub engines: Vec<Upstream>,
     /// Plain services.
-    pub desks: Vec<Upstream>,
+    pub services: Vec<Upstream>,
     supervisors: Vec<JoinHandle<()>>,
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // First the daemons: what they would still send to ports of this run
-        // could reach another one that is given the same ports.
+        // The daemons are killed first: what they still send to ports of this run
+        // could reach another run that is assigned the same ports.
         for host in self.hosts() {
-            host.over.set(true);
+            host.finished.set(true);
             host.daemon.borrow_mut().kill();
         }
         self.supervisors.iter().for_each(JoinHandle::abort);
     }
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 0)
 }
 
 impl Fleet {
-    /// Starts everything; the daemons listen some milliseconds later.
-    pub fn start(workshop: &Workshop, size: Size) -> io::Result<Fleet> {
-        let store = Registry::start(any())?;
+    /// Starts the whole fleet; the daemons listen some milliseconds later.
+    pub fn start(files: &DaemonFiles, size: Size) -> io::Result<Fleet> {
+        let store = Registry::start(any_port())?;
         let operator = Operator::default();
         operator.configure(&store, 1);
         let engine = |at: usize| {
             let settings = RunnerSettings {
-                places: PLACES,
-                pause: PAUSE,
-                ..RunnerSettings::engine(&format!("gpu-{at}"), EVENTS)
+                places: ENGINE_SLOTS,
+                pause: EVENT_INTERVAL,
+                ..RunnerSettings::engine(&format!("gpu-{at}"), STREAM_EVENTS)
             };
             Upstream::start("writer", settings, engine_ip(at))
         };
@@ -124,40 +124,41 @@
             Upstream::start("desk", settings, Ipv4Addr::LOCALHOST.into())
         };
         let engines = (0..size.engines).map(engine).collect::<io::Result<Vec<_>>>()?;
-        let desks = (0..size.desks).map(desk).collect::<io::Result<Vec<_>>>()?;
-        let (port, beside) = beside_engines(size.engines)?;
-        let sidecars = beside.into_iter().zip(&engines).enumerate().map(|(at, (peers, engine))| {
-            let rest = format!("engine = {}\nservice = writer\n", engine.proxy.address());
-            Host::new(workshop, &store, "upstream", at, peers, &rest)
-        });
+        let services = (0..size.services).map(desk).collect::<io::Result<Vec<_>>>()?;
+        let (port, proxies) = start_sidecar_proxies(size.engines)?;
+        let sidecars =
+            proxies.into_iter().zip(&engines).enumerate().map(|(at, (peers, engine))| {
+                let rest = format!("engine = {}\nservice = writer\n", engine.proxy.address());
+                Host::new(files, &store, "upstream", at, peers, &rest)
+            });
         let sidecars = sidecars.collect::<io::Result<Vec<_>>>()?;
         let entries = (0..size.entries).map(|at| {
-            let peers = Proxy::start(any())?;
+            let peers = Proxy::start(any_port())?;
             let rest = format!(
                 "ready = 127.0.0.1:0\nsidecars = {port}\nadvertise = {}\n",
                 peers.address()
             );
-            Host::new(workshop, &store, "entry", at, peers, &rest)
+            Host::new(files, &store, "entry", at, peers, &rest)
         });
         let entries = entries.collect::<io::Result<Vec<_>>>()?;
         let supervisors = entries.iter().chain(&sidecars).cloned();
         let supervisors = supervisors.map(|host| actix_rt::spawn(supervise(host))).collect();
-        let fleet = Fleet { store, operator, entries, sidecars, engines, desks, supervisors };
+        let fleet = Fleet { store, operator, entries, sidecars, engines, services, supervisors };
         fleet.upstreams().for_each(|upstream| fleet.register(upstream, false));
         Ok(fleet)
     }
 
-    /// Every daemon.
+    /// All daemons, entries first.
     pub fn hosts(&self) -> impl Iterator<Item = &Rc<Host>> {
         self.entries.iter().chain(&self.sidecars)
     }
 
-    /// Every upstream.
+    /// All upstreams, engines first.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
-        self.engines.iter().chain(&self.desks)
+        self.engines.iter().chain(&self.services)
     }
 
-    /// Writes an upstream's registration.
+    /// Writes the registration of an upstream to the store.
     pub fn register(&self, upstream: &Upstream, leaving: bool) {
         upstream.leaving.set(leaving);
         let at = upstream.proxy.address();
@@ -165,27 +166,27 @@
         self.store.put("servers", &upstream.id, &row);
     }
 
-    /// Announces a newer version of `adapter`, which engines load from now on.
+    /// Announces the next version of `adapter`, which engines can load from now on.
     pub fn announce(&self, adapter: &str) {
-        // Weights are there before they are announced.
+        // Engines must have the weights before the store announces the version.
         let next = self.operator.version(adapter) + 1;
         self.engines.iter().for_each(|engine| engine.runner.announce(adapter, next));
         self.operator.announce(&self.store, adapter);
     }
 
-    /// Ends every fault that was left behind.
-    pub fn heal(&self) -> io::Result<()> {
+    /// Ends all faults that are still active.
+    pub fn clear_faults(&self) -> io::Result<()> {
         let servers = self.upstreams().map(|upstream| upstream.runner.server());
         for server in servers.chain([self.store.server()]) {
             server.order(kingcupbay_standin::FaultOrder::ClearAll);
         }
         for host in self.hosts() {
-            host.store.set(Path::default());
-            host.peers.set(Path::default());
+            host.store.set(Flows::default());
+            host.peers.set(Flows::default());
             host.daemon.borrow_mut().resume()?;
         }
         for upstream in self.upstreams() {
-            upstream.proxy.set(Path::default());
+            upstream.proxy.set(Flows::default());
             if upstream.leaving.get() {
                 self.register(upstream, false);
             }
@@ -197,24 +198,24 @@
 impl Upstream {
     fn start(service: &'static str, settings: RunnerSettings, ip: IpAddr) -> io::Result<Upstream> {
         let id = settings.id.clone();
-        let runner = Runner::start(any(), settings)?;
+        let runner = Runner::start(any_port(), settings)?;
         let proxy = Proxy::start(SocketAddr::new(ip, 0))?;
-        proxy.aim(runner.server().address());
+        proxy.set_target(runner.server().address());
         Ok(Upstream { id, service, runner, proxy, leaving: Cell::new(false) })
     }
 }
 
 impl Host {
     fn new(
-        workshop: &Workshop,
+        files: &DaemonFiles,
         store: &Registry,
         role: &str,
         at: usize,
         peers: Proxy,
         rest: &str,
     ) -> io::Result<Rc<Host>> {
-        let to_store = Proxy::start(any())?;
-        to_store.aim(store.server().address());
+        let to_store = Proxy::start(any_port())?;
+        to_store.set_target(store.server().address());
         let host = format!("{role}-{at}");
         let callers = match role {
             "entry" => "[callers]\nlisten = 127.0.0.1:0\n",
@@ -226,12 +227,12 @@
              [registry]\nstore = {}\n{rest}",
             to_store.address()
         );
-        let daemon = RefCell::new(Daemon::new(workshop, &host, &settings)?);
-        Ok(Rc::new(Host { daemon, store: to_store, peers, over: Cell::new(false) }))
+        let daemon = RefCell::new(Daemon::new(files, &host, &settings)?);
+        Ok(Rc::new(Host { daemon, store: to_store, peers, finished: Cell::new(false) }))
     }
 
-    /// Sends other daemons where it listens now; whether it runs still.
-    fn look(&self) -> bool {
+    /// Points the peer proxy at a running daemon; returns whether it still runs.
+    fn poll(&self) -> bool {
         let mut daemon = self.daemon.borrow_mut();
         if daemon.has_ended().expect("the daemon is a child of this process") {
             return false;
@@ -239,40 +240,40 @@
         if daemon.listens()
             && let Some(address) = daemon.address("peers")
         {
-            self.peers.aim(address);
+            self.peers.set_target(address);
         }
         true
     }
 
-    /// Where callers reach it, while it runs.
-    pub fn callers(&self) -> Option<SocketAddr> {
+    /// Address for callers, once the daemon listens.
+    pub fn caller_address(&self) -> Option<SocketAddr> {
         self.daemon.borrow().address("callers")
     }
 }
 
-/// Starts a daemon again whenever it has ended, as the platform does.
+/// Restarts a daemon whenever it has ended, as the platform does.
 async fn supervise(host: Rc<Host>) {
-    while !host.over.get() {
+    while !host.finished.get() {
         let started = host.daemon.borrow_mut().start();
         started.expect("the daemon's program is there");
-        while host.look() {
-            tokio::time::sleep(LOOK).await;
+        while host.poll() {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        tokio::time::sleep(RESTART).await;
+        tokio::time::sleep(RESTART_DELAY).await;
     }
 }
 
-/// Each engine has an address of its own, as its host would.
+/// Returns the address of an engine; each has its own, as on separate hosts.
 fn engine_ip(at: usize) -> IpAddr {
-    let last = u8::try_from(at + 1).expect("fewer engines than the last byte can tell apart");
+    let last = u8::try_from(at + 1).expect("engine indices fit the last byte of an address");
     Ipv4Addr::new(127, 0, 1, last).into()
 }
 
-/// Proxies in front of the daemons beside engines: all at one port, each at the
+/// Starts the proxies in front of the sidecars: all at one port, each at the
 /// address of its engine.
-fn beside_engines(count: usize) -> io::Result<(u16, Vec<Proxy>)> {
+fn start_sidecar_proxies(count: usize) -> io::Result<(u16, Vec<Proxy>)> {
     let mut last = io::ErrorKind::AddrInUse.into();
-    for _ in 0..PORT_TRIES {
+    for _ in 0..MAX_PORT_TRIES {
         let first = Proxy::start(SocketAddr::new(engine_ip(0), 0))?;
         let port = first.address().port();
         let rest = (1..count).map(|at| Proxy::start(SocketAddr::new(engine_ip(at), port)));
--- a/kingcupbay_soak/src/lib.rs
+++ b/kingcupbay_soak/src/lib.rs
@@ -1,17 +1,17 @@
-//! A randomized soak of a registered fleet.
+//! Randomized soak test of a registered fleet.
 //!
-//! [`run`] plays one seed: [`fleet`] starts entries and the daemons beside
-//! engines as processes of their own ([`daemon`]), before stand-ins of the
-//! platform's store, engines and plain services, with a loopback [`proxy`] on
-//! each way between them. [`callers`] keep sending requests. [`trouble`] draws
-//! faults from the seed and brings them about from outside, by signals, proxies
-//! and the stand-ins' switches, in series and overlapping. After each round the
-//! faults end, and everything must be well again. [`promises`] judges what
-//! callers got and upstreams saw.
+//! [`run`] executes one seed: [`fleet`] starts entries and sidecars as separate
+//! processes ([`daemon`]) against stand-ins of the platform's store, engines and
+//! plain services, with a loopback [`proxy`] on each path between them.
+//! [`callers`] keep sending requests. [`trouble`] draws faults from the seed and
+//! applies them from outside, by signals, proxies and the fault settings of the
+//! stand-ins, one after the other and overlapping. After each round the faults
+//! are cleared and the fleet must recover. [`promises`] checks the answers that
+//! callers received against the requests that upstreams recorded.
 //!
-//! The daemons' own clock only runs, and their hosts have no disks: what can
-//! misbehave is time that passes unseen while a process is paused, and the
-//! store.
+//! The daemons use a monotonic clock and their hosts have no disks, so the soak
+//! injects no clock steps and no disk faults: it pauses processes, during which
+//! time passes unnoticed by them, and makes the store fail.
 
 pub mod callers;
 pub mod daemon;
--- a/kingcupbay_soak/src/main.rs
+++ b/kingcupbay_soak/src/main.rs
@@ -1,12 +1,12 @@
-//! The soak's program: plays seeds one after the other.
+//! Runs the soak for one seed after the other.
 
 use std::{path::PathBuf, process::ExitCode};
 
 use clap::Parser;
 use kingcupbay_soak::{
-    daemon::{Workshop, beside},
+    daemon::{DaemonFiles, daemon_program},
     fleet::Size,
-    run::{Outcome, Plan, play},
+    run::{Outcome, Plan, execute},
 };
 
 /// Randomized soak of a registered fleet; prints each broken promise and fails
@@ -18,25 +18,25 @@
     /// First seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seeds to play, from the first one on.
+    /// Number of seeds to run, counted from the first one.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Rounds of faults for each seed.
+    /// Rounds of faults per seed.
     #[arg(long, default_value_t = 3)]
     rounds: u32,
     /// Entries.
     #[arg(long, default_value_t = 3)]
     entries: usize,
-    /// Engines, each with a daemon beside it.
+    /// Engines, each with a sidecar.
     #[arg(long, default_value_t = 3)]
     engines: usize,
     /// Plain services.
     #[arg(long, default_value_t = 2)]
     desks: usize,
-    /// Ordinary callers for each entry.
+    /// Ordinary callers per entry.
     #[arg(long, default_value_t = 5)]
     callers: usize,
-    /// Where settings and the daemons' logs are kept, a folder for each seed.
+    /// Folder of the settings and the daemons' logs, with a subfolder per seed.
     #[arg(long, default_value = "target/soak", value_name = "FOLDER")]
     logs: PathBuf,
 }
@@ -44,21 +44,21 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     let program = match std::env::current_exe() {
-        Ok(own) => beside(&own),
+        Ok(own) => daemon_program(&own),
         Err(error) => {
-            eprintln!("where this program lies: {error}");
+            eprintln!("cannot determine the path of this program: {error}");
             return ExitCode::FAILURE;
         }
     };
     let mut broken = 0;
     for seed in args.seed..args.seed + args.seeds {
         let folder = args.logs.join(format!("seed-{seed}"));
-        let workshop = Workshop { program: program.clone(), folder };
-        let size = Size { entries: args.entries, engines: args.engines, desks: args.desks };
-        let plan = Plan { seed, rounds: args.rounds, size, callers: args.callers, workshop };
-        match actix_rt::System::new().block_on(play(&plan)) {
+        let files = DaemonFiles { program: program.clone(), folder };
+        let size = Size { entries: args.entries, engines: args.engines, services: args.desks };
+        let plan = Plan { seed, rounds: args.rounds, size, callers: args.callers, files };
+        match actix_rt::System::new().block_on(execute(&plan)) {
             Ok(outcome) => {
-                report(seed, &outcome);
+                print_outcome(seed, &outcome);
                 broken += usize::from(!outcome.breaches.is_empty());
             }
             Err(error) => {
@@ -71,11 +71,11 @@
     if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn report(seed: u64, outcome: &Outcome) {
-    let Outcome { sent, served, calm, breaches, troubles } = outcome;
+fn print_outcome(seed: u64, outcome: &Outcome) {
+    let Outcome { sent, served, recovery, breaches, troubles } = outcome;
     println!(
         "seed {seed}: {served} of {sent} served, well after {} ms, {} breaches",
-        calm.as_millis(),
+        recovery.as_millis(),
         breaches.len()
     );
     if breaches.is_empty() {
--- a/kingcupbay_soak/src/operator.rs
+++ b/kingcupbay_soak/src/operator.rs
@@ -1,4 +1,4 @@
-//! What the operator writes to the store.
+//! Configurations and adapter versions that the operator writes to the store.
 
 use std::{
     cell::RefCell,
@@ -7,53 +7,54 @@
 
 use kingcupbay_standin::{Declared, DeclaredOrganisation, DeclaredRoute, Registry, announcement};
 
-use crate::fleet::PLACES;
+use crate::fleet::ENGINE_SLOTS;
 
-/// The organisation whose key every configuration holds, without a limit.
+/// Organisation without a limit, whose key every configuration contains.
 pub const WINERY: &str = "winery";
 
-/// The organisation with a limit.
+/// Organisation with a rate limit.
 pub const CLUB: &str = "club";
 
-/// The organisation whose key each configuration replaces.
+/// Organisation whose key each configuration replaces.
 pub const GUESTS: &str = "guests";
 
-/// Tokens a second and burst of the club.
+/// Rate of [`CLUB`] in tokens per second.
 pub const CLUB_RATE: u64 = 6_000;
 
-/// Time after which an upstream's answer is late, in milliseconds.
-const AIM: u64 = 500;
+/// Time after which an upstream's answer is late.
+const LATENCY_TARGET_MS: u64 = 500;
 
-/// Longest wait of a caller, in milliseconds.
-pub const TIMEOUT: u64 = 8_000;
+/// Deadline of a request.
+pub const TIMEOUT_MS: u64 = 8_000;
 
-/// The operator: numbers only grow, and a key once withdrawn never comes back.
+/// The operator: configuration numbers only grow, and a withdrawn key is never
+/// issued again.
 #[derive(Default)]
 pub struct Operator {
-    /// Of every configuration.
+    /// Numbers of all configurations.
     numbers: RefCell<BTreeSet<u64>>,
     versions: RefCell<BTreeMap<String, u32>>,
 }
 
 impl Operator {
-    /// Number of the newest configuration.
+    /// Returns the number of the newest configuration.
     pub fn number(&self) -> u64 {
         self.numbers.borrow().last().copied().unwrap_or_default()
     }
 
-    /// Numbers of all configurations.
+    /// Returns the numbers of all configurations.
     pub fn numbers(&self) -> BTreeSet<u64> {
         self.numbers.borrow().clone()
     }
 
-    /// Writes a configuration that is `step` newer.
+    /// Writes a configuration whose number is greater by `step`.
     pub fn configure(&self, store: &Registry, step: u64) {
         let number = self.number() + step;
         self.numbers.borrow_mut().insert(number);
         store.put("op", "config", &configuration(number).row());
     }
 
-    /// Announces the next version of `adapter`; the version.
+    /// Announces the next version of `adapter` and returns it.
     pub fn announce(&self, store: &Registry, adapter: &str) -> u32 {
         let mut versions = self.versions.borrow_mut();
         let version = versions.entry(adapter.to_owned()).or_insert(1);
@@ -63,24 +64,24 @@
         *version
     }
 
-    /// Newest announced version of `adapter`.
+    /// Returns the newest announced version of `adapter`.
     pub fn version(&self, adapter: &str) -> u32 {
         self.versions.borrow().get(adapter).copied().unwrap_or(1)
     }
 }
 
-/// The key of the guests under the configuration `number`.
+/// Returns the key of [`GUESTS`] in the configuration `number`.
 pub fn guest_key(number: u64) -> String {
     format!("{GUESTS}-key-{number}")
 }
 
-/// The configuration that [`guest_key`] made `key` for.
-pub fn number_of(key: &str) -> Option<u64> {
+/// Returns the number of the configuration that contains a guest key.
+pub fn guest_key_number(key: &str) -> Option<u64> {
     key.strip_prefix(GUESTS)?.strip_prefix("-key-")?.parse().ok()
 }
 
-/// The lasting key of an organisation.
-pub fn lasting_key(organisation: &str) -> String {
+/// Returns the key that an organisation keeps in all configurations.
+pub fn permanent_key(organisation: &str) -> String {
     format!("{organisation}-key")
 }
 
@@ -107,12 +108,12 @@
             route("note", "stream", "writer", 1),
         ],
         organisations: vec![
-            organisation(WINERY, lasting_key(WINERY), 0),
-            organisation(CLUB, lasting_key(CLUB), CLUB_RATE),
+            organisation(WINERY, permanent_key(WINERY), 0),
+            organisation(CLUB, permanent_key(CLUB), CLUB_RATE),
             organisation(GUESTS, guest_key(number), 0),
         ],
-        timeout: TIMEOUT,
-        aim: AIM,
-        places: PLACES,
+        timeout: TIMEOUT_MS,
+        aim: LATENCY_TARGET_MS,
+        places: ENGINE_SLOTS,
     }
 }
--- a/kingcupbay_soak/src/promises.rs
+++ b/kingcupbay_soak/src/promises.rs
@@ -1,7 +1,7 @@
-//! What must hold, judged by what callers got and upstreams saw.
+//! Checks of the promises against what callers received and upstreams recorded.
 //!
-//! Nothing here measures how long anything took: each breach is one on the
-//! slowest machine too.
+//! No check measures how long something took, so a slow machine causes no
+//! breaches.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,246 +12,248 @@
 use kingcupbay_standin::{RunnerOrder, RunnerRun};
 
 use crate::{
-    fleet::EVENTS,
-    operator::{CLUB, CLUB_RATE, number_of},
+    fleet::STREAM_EVENTS,
+    operator::{CLUB, CLUB_RATE, guest_key_number},
     sent::{Answer, End, Kind, Sent},
 };
 
-/// Span over which an organisation's use is summed.
+/// Length of the window over which an organisation's tokens are summed.
 const WINDOW: Duration = Duration::from_secs(8);
 
-/// Tokens that a limit may be passed by in [`WINDOW`], beside a tenth: what
-/// entries may spend before their tallies meet.
-const SLACK: u64 = 11_000;
+/// Tokens by which a limit may be exceeded in [`WINDOW`], in addition to a tenth:
+/// what entries may spend before they have exchanged their usage reports.
+const SLACK_TOKENS: u64 = 11_000;
 
-/// What one upstream saw.
+/// What one upstream recorded.
 #[derive(Clone, Debug)]
-pub struct Witness {
-    /// Its id.
+pub struct UpstreamRecord {
+    /// Id of the upstream.
     pub id: String,
-    /// Requests that it ran.
+    /// Requests that it executed.
     pub runs: Vec<RunnerRun>,
-    /// Orders that it accepted, by order of coming.
+    /// Orders that it accepted, in the order of their arrival.
     pub orders: Vec<RunnerOrder>,
-    /// Orders to hold more than it has places for.
+    /// Number of orders to load more adapters than it has slots.
     pub overloads: u32,
 }
 
-/// All that a run is judged by.
+/// Everything recorded in a run.
 #[derive(Clone, Debug)]
-pub struct Evidence<'a> {
-    /// What callers sent, in that order.
+pub struct Record<'a> {
+    /// Requests of all callers, in the order in which they were sent.
     pub sent: &'a [Sent],
-    /// What upstreams saw.
-    pub witnesses: &'a [Witness],
-    /// Rounds in which nothing failed, so that no request may be lost in them.
+    /// Records of all upstreams.
+    pub upstreams: &'a [UpstreamRecord],
+    /// Rounds with only planned work, in which no request may be lost.
     pub planned: &'a BTreeSet<u32>,
-    /// Numbers of all configurations.
+    /// Numbers of all configurations that were written.
     pub numbers: &'a BTreeSet<u64>,
 }
 
-/// A promise that was broken.
+/// A broken promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// Which one.
+    /// The promise.
     pub promise: &'static str,
-    /// The request or upstream, and what was seen.
-    pub seen: String,
+    /// The request or upstream concerned, and what was observed.
+    pub details: String,
 }
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.promise, self.seen)
+        write!(f, "{}: {}", self.promise, self.details)
     }
 }
 
-fn breach(promise: &'static str, seen: String) -> Breach {
-    Breach { promise, seen }
+fn breach(promise: &'static str, details: String) -> Breach {
+    Breach { promise, details }
 }
 
-/// Runs by the attempt that they belong to, with the upstream of each.
+/// Runs by request id, each with the id of its upstream.
 type Runs<'a> = BTreeMap<&'a str, Vec<(&'a str, &'a RunnerRun)>>;
 
-/// Every promise that was broken.
-pub fn breaches(evidence: &Evidence<'_>) -> Vec<Breach> {
-    let Evidence { sent, witnesses, planned, numbers } = *evidence;
+/// Returns all broken promises.
+pub fn breaches(record: &Record<'_>) -> Vec<Breach> {
+    let Record { sent, upstreams, planned, numbers } = *record;
     let mut runs: Runs<'_> = BTreeMap::new();
-    for witness in witnesses {
-        for run in &witness.runs {
-            runs.entry(&run.attempt).or_default().push((&witness.id, run));
+    for upstream in upstreams {
+        for run in &upstream.runs {
+            runs.entry(&run.attempt).or_default().push((&upstream.id, run));
         }
     }
-    let mut found = unasked(sent, &runs);
-    for one in sent {
-        let ran = runs.get(one.attempt.as_str()).map_or(&[][..], Vec::as_slice);
-        found.extend(changed(one, ran));
-        found.extend(repeated(one, ran));
-        found.extend(untrue(one, ran));
-        found.extend(foreign(one, ran));
-        if planned.contains(&one.round) {
-            found.extend(lost(one, ran));
+    let mut found = find_unsent_runs(sent, &runs);
+    for req in sent {
+        let ran = runs.get(req.attempt.as_str()).map_or(&[][..], Vec::as_slice);
+        found.extend(check_unchanged(req, ran));
+        found.extend(check_run_count(req, ran));
+        found.extend(check_refusal(req, ran));
+        found.extend(check_success(req, ran));
+        if planned.contains(&req.round) {
+            found.extend(check_not_lost(req, ran));
         }
     }
-    found.extend(reverted(sent));
-    found.extend(unknown_keys(sent, &runs, numbers));
-    found.extend(over_limit(sent, &runs));
-    witnesses.iter().for_each(|witness| found.extend(disorder(witness)));
+    found.extend(check_configuration_order(sent));
+    found.extend(check_unknown_keys(sent, &runs, numbers));
+    found.extend(check_rate_limit(sent, &runs));
+    upstreams.iter().for_each(|upstream| found.extend(check_orders(upstream)));
     found
 }
 
-fn unasked(sent: &[Sent], runs: &Runs<'_>) -> Vec<Breach> {
-    let known: BTreeSet<&str> = sent.iter().map(|one| one.attempt.as_str()).collect();
-    let strange = runs.iter().filter(|(attempt, _)| !known.contains(*attempt));
-    let seen = |(attempt, ran): (&&str, &Vec<(&str, &RunnerRun)>)| {
+fn find_unsent_runs(sent: &[Sent], runs: &Runs<'_>) -> Vec<Breach> {
+    let known: BTreeSet<&str> = sent.iter().map(|req| req.attempt.as_str()).collect();
+    let unknown = runs.iter().filter(|(attempt, _)| !known.contains(*attempt));
+    let details = |(attempt, ran): (&&str, &Vec<(&str, &RunnerRun)>)| {
         let ran: Vec<_> = ran.iter().map(|(id, run)| (id, &run.method, &run.path)).collect();
         breach("nobody sent it", format!("{attempt:?} at {ran:?}"))
     };
-    strange.map(seen).collect()
+    unknown.map(details).collect()
 }
 
-/// Upstreams get the caller's request, whose it is, and never the key.
-fn changed(one: &Sent, ran: &[(&str, &RunnerRun)]) -> Vec<Breach> {
+/// Upstreams receive the caller's request unchanged, with its organisation and
+/// without the access key.
+fn check_unchanged(req: &Sent, ran: &[(&str, &RunnerRun)]) -> Vec<Breach> {
     let same = |run: &RunnerRun| {
-        run.method.as_str() == one.kind.method().as_str()
-            && run.path == one.path
-            && run.body == one.body.as_bytes()
-            && run.adapter() == one.adapter.as_deref()
+        run.method.as_str() == req.kind.method().as_str()
+            && run.path == req.path
+            && run.body == req.body.as_bytes()
+            && run.adapter() == req.adapter.as_deref()
     };
-    let own = |run: &RunnerRun| run.organisation() == Some(one.organisation) && !run.has_key();
+    let own = |run: &RunnerRun| run.organisation() == Some(req.organisation) && !run.has_key();
     let mut found = Vec::new();
     for (id, run) in ran {
         if !same(run) {
-            found.push(breach("the request is unchanged", format!("{} at {id}", one.attempt)));
+            found.push(breach("the request is unchanged", format!("{} at {id}", req.attempt)));
         }
         if !own(run) {
-            let seen = format!("{} at {id}: {:?}", one.attempt, run.headers);
-            found.push(breach("it runs for its key's organisation", seen));
+            let details = format!("{} at {id}: {:?}", req.attempt, run.headers);
+            found.push(breach("it runs for its key's organisation", details));
         }
     }
     found
 }
 
-fn repeated(one: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
-    let most = if one.kind.once() { 1 } else { 2 };
-    let seen = || {
+fn check_run_count(req: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
+    let most = if req.kind.once() { 1 } else { 2 };
+    let details = || {
         let at: Vec<&str> = ran.iter().map(|(id, _)| *id).collect();
-        format!("{} {:?} ran at {at:?}, {:?}", one.attempt, one.kind, one.end)
+        format!("{} {:?} ran at {at:?}, {:?}", req.attempt, req.kind, req.end)
     };
-    (ran.len() > most).then(|| breach("it runs at most so often", seen()))
+    (ran.len() > most).then(|| breach("it runs at most so often", details()))
 }
 
-/// "Not run" is true, also later.
-fn untrue(one: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
-    let refused = matches!(one.status(), Some(408 | 421 | 429 | 503));
-    let lied = refused && one.kind.once() && !ran.is_empty();
-    lied.then(|| breach("what is refused has not run", format!("{} {:?}", one.attempt, one.end)))
+/// A request that may run once and was refused never runs, not even later.
+fn check_refusal(req: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
+    let refused = matches!(req.status(), Some(408 | 421 | 429 | 503));
+    let false_refusal = refused && req.kind.once() && !ran.is_empty();
+    false_refusal
+        .then(|| breach("what is refused has not run", format!("{} {:?}", req.attempt, req.end)))
 }
 
-/// A success is whole and the request's own.
-fn foreign(one: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
-    let Some(End::Answered(answer)) = &one.end else { return None };
+/// A successful answer is complete and belongs to this request.
+fn check_success(req: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
+    let Some(End::Answered(answer)) = &req.end else { return None };
     if !(200..300).contains(&answer.status) {
         return None;
     }
-    let stamped = answer.stamp.as_deref() == Some(&format!("stamp-of-{}", one.attempt))
-        && answer.attempt.as_deref() == Some(&one.attempt);
-    let whole = match one.kind.streams() {
-        true => is_whole_stream(one, answer),
+    let signed = answer.stamp.as_deref() == Some(&format!("stamp-of-{}", req.attempt))
+        && answer.attempt.as_deref() == Some(&req.attempt);
+    let whole = match req.kind.streams() {
+        true => is_whole_stream(req, answer),
         false => ran.iter().any(|(id, _)| answer.body == format!("done by {id}")),
     };
-    let seen = || format!("{} {:?}: {answer:?}", one.attempt, one.kind);
-    (!stamped || !whole).then(|| breach("a success is whole and its own", seen()))
+    let details = || format!("{} {:?}: {answer:?}", req.attempt, req.kind);
+    (!signed || !whole).then(|| breach("a success is whole and its own", details()))
 }
 
-fn is_whole_stream(one: &Sent, answer: &Answer) -> bool {
-    let event = |id: u64| format!("id: {id}\ndata: event {id} of {}\n\n", one.attempt);
-    answer.body == (1..=EVENTS).map(event).collect::<String>()
+fn is_whole_stream(req: &Sent, answer: &Answer) -> bool {
+    let event = |id: u64| format!("id: {id}\ndata: event {id} of {}\n\n", req.attempt);
+    answer.body == (1..=STREAM_EVENTS).map(event).collect::<String>()
 }
 
-/// With nothing but planned work, a request that reached an upstream is
-/// answered with what that upstream made.
-fn lost(one: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
-    let cut = match &one.end {
+/// During planned work alone, a request that reached an upstream receives the
+/// answer of that upstream.
+fn check_not_lost(req: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
+    let lost = match &req.end {
         Some(End::Broken(_)) => !ran.is_empty(),
         Some(End::Answered(answer)) => matches!(answer.status, 500 | 502 | 504),
         _ => false,
     };
-    cut.then(|| {
-        let seen = format!("{} {:?} at {}: {:?}", one.attempt, one.kind, one.entry, one.end);
-        breach("planned work loses nothing", seen)
+    lost.then(|| {
+        let details = format!("{} {:?} at {}: {:?}", req.attempt, req.kind, req.entry, req.end);
+        breach("planned work loses nothing", details)
     })
 }
 
-/// Within one process, the configuration never goes back. Guests of one entry
-/// ask one at a time, so the order of sending is the order of answers.
-fn reverted(sent: &[Sent]) -> Vec<Breach> {
+/// Within one process, the configuration never goes back. Guest requests to one
+/// entry are sent one at a time, so they are answered in the order of sending.
+fn check_configuration_order(sent: &[Sent]) -> Vec<Breach> {
     let mut known: BTreeMap<(usize, u32), u64> = BTreeMap::new();
     let mut found = Vec::new();
-    for one in sent.iter().filter(|one| one.kind == Kind::Guest) {
-        let Some(number) = number_of(&one.key) else { continue };
-        let newest = known.entry((one.entry, one.incarnation)).or_default();
-        let back = match one.status() {
+    for req in sent.iter().filter(|req| req.kind == Kind::Guest) {
+        let Some(number) = guest_key_number(&req.key) else { continue };
+        let newest = known.entry((req.entry, req.incarnation)).or_default();
+        let reverted = match req.status() {
             Some(200) => number < *newest,
-            Some(401) => number == *newest && one.newest == number,
+            Some(401) => number == *newest && req.newest == number,
             _ => continue,
         };
-        if back {
-            let seen = format!("{} with {} after {newest}: {:?}", one.attempt, one.key, one.end);
-            found.push(breach("a configuration never goes back", seen));
+        if reverted {
+            let details = format!("{} with {} after {newest}: {:?}", req.attempt, req.key, req.end);
+            found.push(breach("a configuration never goes back", details));
         }
-        if one.status() == Some(200) {
+        if req.status() == Some(200) {
             *newest = number.max(*newest);
         }
     }
     found
 }
 
-/// A key that no configuration ever held opens nothing.
-fn unknown_keys(sent: &[Sent], runs: &Runs<'_>, numbers: &BTreeSet<u64>) -> Vec<Breach> {
-    let unknown = |one: &&Sent| number_of(&one.key).is_some_and(|of| !numbers.contains(&of));
-    let ran = |one: &&Sent| runs.contains_key(one.attempt.as_str());
+/// A request with a key that no configuration has ever contained never runs.
+fn check_unknown_keys(sent: &[Sent], runs: &Runs<'_>, numbers: &BTreeSet<u64>) -> Vec<Breach> {
+    let unknown = |req: &&Sent| guest_key_number(&req.key).is_some_and(|of| !numbers.contains(&of));
+    let ran = |req: &&Sent| runs.contains_key(req.attempt.as_str());
     let opened = sent.iter().filter(unknown).filter(ran);
     opened
-        .map(|one| breach("an unknown key opens nothing", format!("{} {}", one.attempt, one.key)))
+        .map(|req| breach("an unknown key opens nothing", format!("{} {}", req.attempt, req.key)))
         .collect()
 }
 
-/// In no window more of the club's tokens run than its rate and burst allow.
-fn over_limit(sent: &[Sent], runs: &Runs<'_>) -> Option<Breach> {
+/// No window runs more tokens of [`CLUB`] than its rate and burst allow.
+fn check_rate_limit(sent: &[Sent], runs: &Runs<'_>) -> Option<Breach> {
     let mut used: Vec<_> = sent
         .iter()
-        .filter(|one| one.organisation == CLUB)
-        .filter_map(|one| {
-            let (_, run) = runs.get(one.attempt.as_str())?.first()?;
-            Some((one.at, run.at, one.tokens))
+        .filter(|req| req.organisation == CLUB)
+        .filter_map(|req| {
+            let (_, run) = runs.get(req.attempt.as_str())?.first()?;
+            Some((req.at, run.at, req.tokens))
         })
         .collect();
     used.sort_unstable_by_key(|&(at, ..)| at);
-    let allowed = (CLUB_RATE * WINDOW.as_secs() + CLUB_RATE) * 11 / 10 + SLACK;
+    let allowed = (CLUB_RATE * WINDOW.as_secs() + CLUB_RATE) * 11 / 10 + SLACK_TOKENS;
     let window = |start: usize| -> u64 {
         let end = used[start].0 + WINDOW;
         let inside = used[start..].iter().take_while(|(at, ..)| *at < end);
         inside.filter(|(_, ran, _)| *ran < end).map(|(_, _, tokens)| tokens).sum()
     };
     let most = (0..used.len()).map(window).max().unwrap_or_default();
-    let seen = || format!("{most} tokens in {} s, allowed {allowed}", WINDOW.as_secs());
-    (most > allowed).then(|| breach("rate and burst hold over all hosts", seen()))
+    let details = || format!("{most} tokens in {} s, allowed {allowed}", WINDOW.as_secs());
+    (most > allowed).then(|| breach("rate and burst hold over all hosts", details()))
 }
 
-/// One host orders an engine, its fencing number never goes back, and it never
-/// orders more than there is room for.
-fn disorder(witness: &Witness) -> Vec<Breach> {
-    let id = &witness.id;
+/// An engine receives orders of one host only, with fencing numbers that never
+/// decrease, and never for more adapters than it has slots.
+fn check_orders(upstream: &UpstreamRecord) -> Vec<Breach> {
+    let id = &upstream.id;
     let mut found = Vec::new();
-    if witness.overloads > 0 {
-        found.push(breach("no order beyond the places", format!("{} at {id}", witness.overloads)));
+    if upstream.overloads > 0 {
+        found.push(breach("no order beyond the places", format!("{} at {id}", upstream.overloads)));
     }
     let holders: BTreeSet<&str> =
-        witness.orders.iter().map(|order| order.holder.as_str()).collect();
+        upstream.orders.iter().map(|order| order.holder.as_str()).collect();
     if holders.len() > 1 {
         found.push(breach("one host orders an engine", format!("{holders:?} at {id}")));
     }
-    let fences: Vec<u64> = witness.orders.iter().map(|order| order.fencing).collect();
+    let fences: Vec<u64> = upstream.orders.iter().map(|order| order.fencing).collect();
     if !fences.is_sorted() {
         found.push(breach("fencing numbers never go back", format!("{fences:?} at {id}")));
     }
--- a/kingcupbay_soak/src/proxy.rs
+++ b/kingcupbay_soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that stands in a connection's way.
+//! A loopback proxy that can delay, hold and end the connections through it.
 
 use std::{
     cell::{Cell, RefCell},
@@ -18,50 +18,50 @@
     sync::watch,
 };
 
-/// Bytes moved at a time; small, so that a fault meets answers midway.
-const PIECE: usize = 2 << 10;
+/// Most bytes copied at a time; small, so that a fault interrupts answers midway.
+const CHUNK_BYTES: usize = 2 << 10;
 
-/// How often a held direction looks whether its sender has given up.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which a held direction checks for a reset by its sender.
+const RESET_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1_024;
+/// Most connections that wait to be accepted.
+const ACCEPT_BACKLOG: u32 = 1_024;
 
-/// What becomes of the bytes of one direction.
+/// Treatment of the bytes of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Flow {
-    /// They pass.
+    /// Bytes pass.
     #[default]
     Open,
-    /// Each piece passes this much later.
+    /// Each chunk passes after this delay.
     Late(Duration),
-    /// They stay where they are until the direction is open again; a sender
-    /// that resets its connection takes them back, as on a cut network.
+    /// Bytes are held until the direction is open again; if the sender resets its
+    /// connection, they are dropped, as on a cut network.
     Held,
 }
 
-/// What becomes of a proxy's connections.
+/// Treatment of a proxy's connections in each direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Path {
-    /// From whoever connects.
-    pub there: Flow,
-    /// From the target.
-    pub back: Flow,
+pub struct Flows {
+    /// From the client to the target.
+    pub to_target: Flow,
+    /// From the target to the client.
+    pub from_target: Flow,
 }
 
-impl Path {
-    /// Nothing passes either way.
-    pub const CUT: Path = Path { there: Flow::Held, back: Flow::Held };
+impl Flows {
+    /// Nothing passes in either direction.
+    pub const CUT: Flows = Flows { to_target: Flow::Held, from_target: Flow::Held };
 }
 
-/// What ends or silences the connections that are open now.
+/// Number of resets and silences; a change resets or silences open connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Era {
+struct Counts {
     resets: u64,
     silences: u64,
 }
 
-/// A proxy in front of one target; its drop closes it.
+/// A proxy in front of one target; closed on drop.
 pub struct Proxy {
     address: SocketAddr,
     shared: Rc<Shared>,
@@ -70,9 +70,9 @@
 
 struct Shared {
     target: Cell<Option<SocketAddr>>,
-    path: watch::Sender<Path>,
-    era: watch::Sender<Era>,
-    /// Both ends of connections gone silent; kept, so that neither end is told.
+    path: watch::Sender<Flows>,
+    counts: watch::Sender<Counts>,
+    /// Both sockets of silenced connections, kept so that neither end is closed.
     silent: RefCell<Vec<(TcpStream, TcpStream)>>,
 }
 
@@ -87,49 +87,49 @@
     pub fn start(address: SocketAddr) -> io::Result<Proxy> {
         let socket = TcpSocket::new_v4()?;
         socket.bind(address)?;
-        let listener = socket.listen(BACKLOG)?;
+        let listener = socket.listen(ACCEPT_BACKLOG)?;
         let address = listener.local_addr()?;
         let shared = Rc::new(Shared {
             target: Cell::new(None),
             path: watch::Sender::default(),
-            era: watch::Sender::default(),
+            counts: watch::Sender::default(),
             silent: RefCell::default(),
         });
         let accept = actix_rt::spawn(accept(listener, shared.clone()));
         Ok(Proxy { address, shared, accept })
     }
 
-    /// Where it listens.
+    /// Address that it listens at.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends new connections to `target`.
-    pub fn aim(&self, target: SocketAddr) {
+    /// Forwards new connections to `target`.
+    pub fn set_target(&self, target: SocketAddr) {
         self.shared.target.set(Some(target));
     }
 
-    /// Changes what becomes of all bytes from now on.
-    pub fn set(&self, path: Path) {
+    /// Changes the treatment of all bytes from now on.
+    pub fn set(&self, path: Flows) {
         self.shared.path.send_replace(path);
     }
 
-    /// Resets the connections that are open now.
+    /// Resets all open connections.
     pub fn reset(&self) {
-        self.shared.era.send_modify(|era| era.resets += 1);
+        self.shared.counts.send_modify(|counts| counts.resets += 1);
     }
 
-    /// Nothing passes any more on the connections that are open now, and
-    /// neither end is told; new ones work.
+    /// Stops all bytes on the open connections without closing them; new
+    /// connections work.
     pub fn silence(&self) {
-        self.shared.era.send_modify(|era| era.silences += 1);
+        self.shared.counts.send_modify(|counts| counts.silences += 1);
     }
 }
 
 async fn accept(listener: TcpListener, shared: Rc<Shared>) {
     loop {
-        let Ok((near, _)) = listener.accept().await else { continue };
-        actix_rt::spawn(carry(near, shared.clone()));
+        let Ok((client, _)) = listener.accept().await else { continue };
+        actix_rt::spawn(forward(client, shared.clone()));
     }
 }
 
@@ -140,31 +140,33 @@
     Silent,
 }
 
-/// Carries one connection to its end.
-async fn carry(mut near: TcpStream, shared: Rc<Shared>) {
-    let mut era = shared.era.subscribe();
-    let begun = *era.borrow_and_update();
+/// Forwards one connection until it ends.
+async fn forward(mut client: TcpStream, shared: Rc<Shared>) {
+    let mut counts = shared.counts.subscribe();
+    let initial = *counts.borrow_and_update();
     let connected = match shared.target.get() {
         Some(target) => TcpStream::connect(target).await,
         None => Err(io::ErrorKind::NotConnected.into()),
     };
-    let Ok(mut far) = connected else { return reset(&near) };
-    // Events are small writes; without this they would wait for each other.
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
+    let Ok(mut server) = connected else { return reset(&client) };
+    // Events are small writes, which the kernel would otherwise hold back.
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
     let end = {
-        let (mut from_near, mut to_near) = near.split();
-        let (mut from_far, mut to_far) = far.split();
-        let there = pump(&mut from_near, &mut to_far, &shared, |path| path.there);
-        let back = pump(&mut from_far, &mut to_near, &shared, |path| path.back);
+        let (mut from_client, mut to_client) = client.split();
+        let (mut from_server, mut to_server) = server.split();
+        let to_target =
+            copy_bytes(&mut from_client, &mut to_server, &shared, |path| path.to_target);
+        let from_target =
+            copy_bytes(&mut from_server, &mut to_client, &shared, |path| path.from_target);
         let changed = async {
-            // Never an error: the sender lives in `shared`.
-            let _ = era.wait_for(|now| *now != begun).await;
-            if shared.era.borrow().resets > begun.resets { End::Reset } else { End::Silent }
+            // Never an error: `shared` keeps the sender alive.
+            let _ = counts.wait_for(|now| *now != initial).await;
+            if shared.counts.borrow().resets > initial.resets { End::Reset } else { End::Silent }
         };
         tokio::select! {
             end = changed => end,
-            ends = async { tokio::try_join!(there, back) } => match ends {
+            ends = async { tokio::try_join!(to_target, from_target) } => match ends {
                 Ok(_) => End::Closed,
                 Err(_) => End::Reset,
             },
@@ -173,49 +175,49 @@
     match end {
         End::Closed => {}
         End::Reset => {
-            reset(&near);
-            reset(&far);
+            reset(&client);
+            reset(&server);
         }
-        End::Silent => shared.silent.borrow_mut().push((near, far)),
+        End::Silent => shared.silent.borrow_mut().push((client, server)),
     }
 }
 
-/// Moves bytes from one end to the other until the first closes. An error
-/// means that an end was reset, which the other one is to learn at once.
-async fn pump(
+/// Copies bytes from one end to the other until the first closes. An error means
+/// that an end was reset; the caller then resets the other one at once.
+async fn copy_bytes(
     from: &mut ReadHalf<'_>,
     to: &mut WriteHalf<'_>,
     shared: &Shared,
-    flow: impl Fn(Path) -> Flow,
+    select: impl Fn(Flows) -> Flow,
 ) -> io::Result<()> {
     let mut path = shared.path.subscribe();
-    let mut piece = vec![0; PIECE];
+    let mut chunk = vec![0; CHUNK_BYTES];
     loop {
-        while flow(*path.borrow_and_update()) == Flow::Held {
-            // The kernel would hand out what was received before a reset.
+        while select(*path.borrow_and_update()) == Flow::Held {
+            // A read would still return bytes that arrived before the reset.
             if let Some(error) = from.as_ref().take_error()? {
                 return Err(error);
             }
-            let _ = tokio::time::timeout(LOOK, path.changed()).await;
+            let _ = tokio::time::timeout(RESET_POLL_INTERVAL, path.changed()).await;
         }
         let read = tokio::select! {
-            read = from.read(&mut piece) => read?,
+            read = from.read(&mut chunk) => read?,
             _ = path.changed() => continue,
         };
-        // The path must not stay borrowed while this one sleeps.
-        let now = flow(*path.borrow());
+        // The borrow must end before the sleep, or `send_replace` would block on it.
+        let now = select(*path.borrow());
         if let Flow::Late(time) = now {
             tokio::time::sleep(time).await;
         }
         if read == 0 {
             return to.shutdown().await;
         }
-        to.write_all(&piece[..read]).await?;
+        to.write_all(&chunk[..read]).await?;
     }
 }
 
-/// The other end sees a reset, not a proper end, when the socket is dropped.
+/// Makes the drop of the socket send a reset instead of an orderly close.
 fn reset(stream: &TcpStream) {
-    // A socket that cannot be told so is closed instead.
+    // If the option cannot be set, the socket closes in order.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/kingcupbay_soak/src/run.rs
+++ b/kingcupbay_soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: rounds of troubles, after each a calm in which all must be well.
+//! One run: rounds of troubles, after each of which the fleet must recover.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,55 +13,55 @@
 use thiserror::Error;
 
 use crate::{
-    callers::{ADAPTERS, Caller, Office, Wish},
-    daemon::Workshop,
+    callers::{ADAPTERS, Caller, Context, Spec},
+    daemon::DaemonFiles,
     fleet::{Fleet, Size},
-    promises::{self, Breach, Evidence, Witness},
+    promises::{self, Breach, Record, UpstreamRecord},
     sent::{Kind, Sent},
     trouble::{self, Timed},
 };
 
-/// Longest time until all is well after the last trouble. It only ends a run
-/// that would never end; fleets of six daemons came back in 3 to 13 s.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Longest recovery after the last trouble of a round. It only ends a run that
+/// would never end: fleets of six daemons recover in 3 to 13 s.
+const RECOVERY_LIMIT: Duration = Duration::from_secs(60);
 
-/// Pause between two looks at a state that is waited for.
-const LOOK: Duration = Duration::from_millis(25);
+/// Pause between two polls of a state that is waited for.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Part of the rounds, in percent, that have only planned work.
-const PLANNED: u64 = 35;
+/// Share of the rounds that have only planned work.
+const PLANNED_ROUNDS_PERCENT: u64 = 35;
 
-/// What is run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Names the troubles and the requests.
+    /// Seed of the troubles and the requests.
     pub seed: u64,
-    /// Rounds of troubles.
+    /// Number of rounds.
     pub rounds: u32,
-    /// Daemons and upstreams.
+    /// Number of daemons and upstreams.
     pub size: Size,
-    /// Ordinary callers for each entry.
+    /// Ordinary callers per entry.
     pub callers: usize,
-    /// Where the daemons come from.
-    pub workshop: Workshop,
+    /// The daemons' program, settings and logs.
+    pub files: DaemonFiles,
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Requests that callers sent.
+    /// Number of requests that callers sent.
     pub sent: usize,
-    /// Those that were answered with success.
+    /// Number of requests that were answered with status 200.
     pub served: usize,
-    /// Troubles by round, as they were drawn.
+    /// Troubles of each round, in the order in which they were drawn.
     pub troubles: Vec<Vec<Timed>>,
-    /// Longest time from the last trouble of a round until all was well.
-    pub calm: Duration,
+    /// Longest time from the last trouble of a round until the fleet recovered.
+    pub recovery: Duration,
     /// Broken promises.
     pub breaches: Vec<Breach>,
 }
 
-/// Why a run could not be played.
+/// Reason why a run could not be executed.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum RunError {
@@ -70,156 +70,156 @@
     Io(#[from] io::Error),
 }
 
-/// Plays one seed.
-pub async fn play(plan: &Plan) -> Result<Outcome, RunError> {
-    let office = Rc::new(Office {
-        fleet: Fleet::start(&plan.workshop, plan.size)?,
+/// Executes one run. Fails if a process or a socket of the soak fails.
+pub async fn execute(plan: &Plan) -> Result<Outcome, RunError> {
+    let context = Rc::new(Context {
+        fleet: Fleet::start(&plan.files, plan.size)?,
         sent: RefCell::default(),
         round: Cell::new(0),
-        over: Cell::new(false),
+        finished: Cell::new(false),
     });
     let mut random = Random::new(plan.seed);
     let mut outcome = Outcome::default();
     let mut planned = BTreeSet::new();
-    outcome.breaches.extend(calm(&office, &mut random).await);
-    let callers = callers(&office, plan, &mut random);
+    outcome.breaches.extend(wait_for_recovery(&context, &mut random).await);
+    let callers = start_callers(&context, plan, &mut random);
     for round in 1..=plan.rounds {
-        let only_planned = random.below(100) < PLANNED;
-        let troubles = trouble::round(&mut random, &office.fleet, only_planned);
-        office.round.set(round);
+        let only_planned = random.below(100) < PLANNED_ROUNDS_PERCENT;
+        let troubles = trouble::draw_round(&mut random, &context.fleet, only_planned);
+        context.round.set(round);
         if troubles.iter().all(|timed| timed.trouble.is_planned()) {
             planned.insert(round);
         }
-        try_join_all(troubles.iter().map(|&timed| trouble::bring(&office.fleet, timed))).await?;
+        try_join_all(troubles.iter().map(|&timed| trouble::apply(&context.fleet, timed))).await?;
         outcome.troubles.push(troubles);
-        office.fleet.heal()?;
-        // What is sent from here on belongs to no round.
-        office.round.set(0);
+        context.fleet.clear_faults()?;
+        // Requests sent from here on belong to no round.
+        context.round.set(0);
         let healed = Instant::now();
-        outcome.breaches.extend(calm(&office, &mut random).await);
-        outcome.calm = outcome.calm.max(healed.elapsed());
+        outcome.breaches.extend(wait_for_recovery(&context, &mut random).await);
+        outcome.recovery = outcome.recovery.max(healed.elapsed());
     }
-    office.over.set(true);
+    context.finished.set(true);
     for caller in callers {
-        // A caller that panicked would be a fault of this program.
+        // A panic of a caller is a fault of the soak itself.
         caller.await.map_err(io::Error::other)?;
     }
-    judge(&office, &planned, &mut outcome);
+    check_promises(&context, &planned, &mut outcome);
     Ok(outcome)
 }
 
-fn callers(
-    office: &Rc<Office>,
+fn start_callers(
+    context: &Rc<Context>,
     plan: &Plan,
     random: &mut Random,
 ) -> Vec<actix_rt::task::JoinHandle<()>> {
     let mut started = Vec::new();
     for entry in 0..plan.size.entries {
         let mut caller = |name: &str, at: usize| {
-            Caller::new(office, &format!("{name}-{entry}-{at}"), entry, random.draw())
+            Caller::new(context, &format!("{name}-{entry}-{at}"), entry, random.draw())
         };
-        started.push(actix_rt::spawn(caller("guest", 0).watch()));
+        started.push(actix_rt::spawn(caller("guest", 0).check_guest_keys()));
         for at in 0..2 {
-            started.push(actix_rt::spawn(caller("club", at).press()));
+            started.push(actix_rt::spawn(caller("club", at).exceed_limit()));
         }
         for at in 0..plan.callers {
-            started.push(actix_rt::spawn(caller("winery", at).roam()));
+            started.push(actix_rt::spawn(caller("winery", at).send_ordinary_requests()));
         }
     }
     started
 }
 
-/// Waits until all is well; what is not well in the end is a breach.
-async fn calm(office: &Rc<Office>, random: &mut Random) -> Option<Breach> {
-    let entries = office.fleet.entries.len();
-    let lacks = RefCell::new(vec!["an answer"; entries]);
+/// Waits until the fleet has recovered; returns a breach if it does not in time.
+async fn wait_for_recovery(context: &Rc<Context>, random: &mut Random) -> Option<Breach> {
+    let entries = context.fleet.entries.len();
+    let lack = RefCell::new(vec!["an answer"; entries]);
     let probes = (0..entries).map(|entry| {
         let name = format!("probe-{}", random.draw());
-        (entry, Caller::new(office, &name, entry, random.draw()))
+        (entry, Caller::new(context, &name, entry, random.draw()))
     });
     let probes: Vec<_> = probes.collect();
-    let well = async {
+    let recovered = async {
         join_all(probes.into_iter().map(|(entry, mut probe)| {
-            let lacks = &lacks;
+            let lack = &lack;
             async move {
-                let note = |lack| lacks.borrow_mut()[entry] = lack;
-                all_well(office, &mut probe, note).await;
+                let note = |step| lack.borrow_mut()[entry] = step;
+                await_service(context, &mut probe, note).await;
             }
         }))
         .await;
-        until(async || left_over(office).is_none()).await;
+        wait_until(async || find_unfinished(context).is_none()).await;
     };
-    match tokio::time::timeout(PATIENCE, well).await {
+    match tokio::time::timeout(RECOVERY_LIMIT, recovered).await {
         Ok(()) => None,
         Err(_) => {
-            let left = left_over(office);
-            let seen = format!("entries lack {:?}, left over {left:?}", lacks.borrow());
-            Some(Breach { promise: "all is well after the last fault", seen })
+            let unfinished = find_unfinished(context);
+            let details = format!("entries lack {:?}, left over {unfinished:?}", lack.borrow());
+            Some(Breach { promise: "all is well after the last fault", details })
         }
     }
 }
 
-/// Ends when the probe's entry serves every kind of request, obeys the newest
-/// configuration, and has new versions used.
-async fn all_well(office: &Rc<Office>, probe: &mut Caller, lacks: impl Fn(&'static str)) {
-    let operator = &office.fleet.operator;
+/// Returns when the probe's entry serves every kind of request, applies the
+/// newest configuration and runs the newest versions of all adapters.
+async fn await_service(context: &Rc<Context>, probe: &mut Caller, lack: impl Fn(&'static str)) {
+    let operator = &context.fleet.operator;
     for kind in Kind::ORDINARY {
-        lacks(kind.prefix());
-        until(async || probe.ask(Wish::new(kind)).await.status() == Some(200)).await;
+        lack(kind.prefix());
+        wait_until(async || probe.send(Spec::new(kind)).await.status() == Some(200)).await;
     }
-    lacks("the newest key");
+    lack("the newest key");
     let newest = operator.number();
-    until(async || probe.ask(Wish::guest(newest)).await.status() == Some(200)).await;
-    lacks("the end of a withdrawn key");
+    wait_until(async || probe.send(Spec::guest(newest)).await.status() == Some(200)).await;
+    lack("the end of a withdrawn key");
     let withdrawn = operator.numbers().iter().rev().nth(1).copied().unwrap_or_default();
-    until(async || probe.ask(Wish::guest(withdrawn)).await.status() == Some(401)).await;
-    lacks("the newest versions");
+    wait_until(async || probe.send(Spec::guest(withdrawn)).await.status() == Some(401)).await;
+    lack("the newest versions");
     for adapter in ADAPTERS {
-        until(async || ran_newest(office, &probe.ask_for(adapter).await)).await;
+        wait_until(async || ran_newest_version(context, &probe.send_stream(adapter).await)).await;
     }
-    lacks("nothing");
+    lack("nothing");
 }
 
-/// Whether the last run of a served stream was on the newest version.
-fn ran_newest(office: &Office, sent: &Sent) -> bool {
-    let newest = sent.adapter.as_deref().map(|name| office.fleet.operator.version(name));
-    let runs = office.fleet.engines.iter().flat_map(|engine| engine.runner.runs());
+/// Whether a stream was served and its last run used the newest version.
+fn ran_newest_version(context: &Context, sent: &Sent) -> bool {
+    let newest = sent.adapter.as_deref().map(|name| context.fleet.operator.version(name));
+    let runs = context.fleet.engines.iter().flat_map(|engine| engine.runner.runs());
     let run = runs.filter(|run| run.attempt == sent.attempt).last();
     let version = run.and_then(|run| run.version());
     sent.status() == Some(200) && version == newest
 }
 
-/// A request of the last round that runs still, at an entry or an engine.
-fn left_over(office: &Office) -> Option<String> {
-    let sent = office.sent.borrow();
-    let waits = sent.iter().find(|one| one.round > 0 && one.end.is_none());
+/// Returns a request of a round that is still open at an entry or an engine.
+fn find_unfinished(context: &Context) -> Option<String> {
+    let sent = context.sent.borrow();
+    let unanswered = sent.iter().find(|req| req.round > 0 && req.end.is_none());
     let ended =
-        |attempt: &String| sent.iter().any(|one| one.attempt == *attempt && one.end.is_some());
-    let open = office.fleet.engines.iter().flat_map(|engine| engine.runner.open());
-    waits.map(|one| one.attempt.clone()).or_else(|| open.into_iter().find(ended))
+        |attempt: &String| sent.iter().any(|req| req.attempt == *attempt && req.end.is_some());
+    let open = context.fleet.engines.iter().flat_map(|engine| engine.runner.open());
+    unanswered.map(|req| req.attempt.clone()).or_else(|| open.into_iter().find(ended))
 }
 
-async fn until(mut well: impl AsyncFnMut() -> bool) {
-    while !well().await {
-        tokio::time::sleep(LOOK).await;
+async fn wait_until(mut recovered: impl AsyncFnMut() -> bool) {
+    while !recovered().await {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn judge(office: &Office, planned: &BTreeSet<u32>, outcome: &mut Outcome) {
-    let sent = office.sent.borrow();
-    let witnesses: Vec<Witness> = office
+fn check_promises(context: &Context, planned: &BTreeSet<u32>, outcome: &mut Outcome) {
+    let sent = context.sent.borrow();
+    let upstreams: Vec<UpstreamRecord> = context
         .fleet
         .upstreams()
-        .map(|upstream| Witness {
+        .map(|upstream| UpstreamRecord {
             id: upstream.id.clone(),
             runs: upstream.runner.runs(),
             orders: upstream.runner.holders(),
             overloads: upstream.runner.overloads(),
         })
         .collect();
-    let numbers = office.fleet.operator.numbers();
-    let evidence = Evidence { sent: &sent, witnesses: &witnesses, planned, numbers: &numbers };
-    outcome.breaches.extend(promises::breaches(&evidence));
+    let numbers = context.fleet.operator.numbers();
+    let record = Record { sent: &sent, upstreams: &upstreams, planned, numbers: &numbers };
+    outcome.breaches.extend(promises::breaches(&record));
     outcome.sent = sent.len();
-    outcome.served = sent.iter().filter(|one| one.status() == Some(200)).count();
+    outcome.served = sent.iter().filter(|req| req.status() == Some(200)).count();
 }
--- a/kingcupbay_soak/src/sent.rs
+++ b/kingcupbay_soak/src/sent.rs
@@ -1,4 +1,4 @@
-//! What callers sent and what they got.
+//! Requests of callers and how they ended.
 
 use std::time::Instant;
 
@@ -7,23 +7,23 @@
 /// A kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// An idempotent request of a plain service.
+    /// An idempotent request to a plain service.
     Seats,
-    /// A request of a plain service that runs at most once.
+    /// A request to a plain service that runs at most once.
     Book,
-    /// A stream that may go on at another engine.
+    /// A stream that may be resumed at another engine.
     Tour,
     /// A stream that runs at most once.
     Note,
-    /// An idempotent request with the guests' key of one configuration.
+    /// An idempotent request with the guest key of one configuration.
     Guest,
 }
 
 impl Kind {
-    /// The kinds of ordinary callers.
+    /// Kinds that ordinary callers send.
     pub const ORDINARY: [Kind; 4] = [Kind::Seats, Kind::Book, Kind::Tour, Kind::Note];
 
-    /// What its paths begin with.
+    /// Prefix of its paths.
     pub fn prefix(self) -> &'static str {
         match self {
             Kind::Seats | Kind::Guest => "/seats/",
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Its method.
+    /// HTTP method of the request.
     pub fn method(self) -> Method {
         match self {
             Kind::Seats | Kind::Guest => Method::GET,
@@ -41,65 +41,65 @@
         }
     }
 
-    /// Whether its answer is a series of events.
+    /// Whether the answer is a stream of events.
     pub fn streams(self) -> bool {
         matches!(self, Kind::Tour | Kind::Note)
     }
 
-    /// Whether it may run only once.
+    /// Whether the request may run at most once.
     pub fn once(self) -> bool {
         matches!(self, Kind::Book | Kind::Note)
     }
 }
 
-/// An answer whose head and body came whole.
+/// An answer whose head and body arrived completely.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
-    /// The upstream's proof.
+    /// The upstream's signature.
     pub stamp: Option<String>,
-    /// The attempt that it names.
+    /// Id of the request that the answer names.
     pub attempt: Option<String>,
-    /// Whether it says when to come back.
+    /// Whether it carries a `retry-after` header.
     pub returns: bool,
-    /// Its body.
+    /// The whole body.
     pub body: String,
 }
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum End {
-    /// With a whole answer.
+    /// A complete answer arrived.
     Answered(Answer),
-    /// Its connection ended before the answer did.
+    /// The connection ended before the answer was complete.
     Broken(String),
-    /// No connection came about.
+    /// No connection could be opened.
     Unsent,
-    /// The caller left.
+    /// The caller gave up.
     Left,
 }
 
-/// One request of a caller.
+/// A request of a caller and how it ended.
 #[derive(Clone, Debug)]
 pub struct Sent {
-    /// Its identity.
+    /// Unique id of the request.
     pub attempt: String,
-    /// Its kind.
+    /// Kind of request.
     pub kind: Kind,
     /// The organisation whose key it carries.
     pub organisation: &'static str,
-    /// The key.
+    /// The access key.
     pub key: String,
-    /// The entry that it went to.
+    /// Index of the entry that it was sent to.
     pub entry: usize,
-    /// How often that entry had been started by then.
+    /// Number of starts of that entry when the request was sent.
     pub incarnation: u32,
-    /// The round of faults that it was sent in.
+    /// Round in which it was sent; 0 between rounds.
     pub round: u32,
-    /// Its path.
+    /// Path with the query.
     pub path: String,
-    /// Its body.
+    /// Request body.
     pub body: String,
     /// The adapter that it names.
     pub adapter: Option<String>,
@@ -114,7 +114,7 @@
 }
 
 impl Sent {
-    /// The status of its answer.
+    /// Status of the answer, if one arrived completely.
     pub fn status(&self) -> Option<u16> {
         match &self.end {
             Some(End::Answered(answer)) => Some(answer.status),
--- a/kingcupbay_soak/src/trouble.rs
+++ b/kingcupbay_soak/src/trouble.rs
@@ -1,4 +1,4 @@
-//! Troubles, drawn from a seed, brought from outside the programs.
+//! Faults and planned work, drawn from a seed and applied from outside.
 
 use std::{io, rc::Rc, time::Duration};
 
@@ -8,70 +8,70 @@
 use crate::{
     callers::ADAPTERS,
     fleet::{Fleet, Host, Upstream},
-    proxy::{Flow, Path, Proxy},
+    proxy::{Flow, Flows, Proxy},
 };
 
-/// What happens to a daemon's process.
+/// Signal to a daemon's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// It is killed.
+    /// Kills the process.
     Kill,
-    /// It is stopped where it is for the trouble's time.
+    /// Suspends the process for the duration of the trouble.
     Pause,
-    /// It is asked to stop, twice.
+    /// Asks for a graceful stop at the start and at the end of the trouble.
     Terminate,
-    /// It is told that its settings may have changed.
+    /// Asks for a reload of the settings.
     Reload,
 }
 
-/// What happens on a way between two processes.
+/// Fault on the network path between two processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// Everything is late.
+pub enum PathFault {
+    /// All bytes are delayed.
     Late,
-    /// Nothing passes either way.
+    /// Nothing passes in either direction.
     Cut,
-    /// What is sent does not arrive; what comes back does.
+    /// Nothing passes to the target; answers still pass.
     CutThere,
-    /// What is sent arrives; nothing comes back.
+    /// Requests still pass to the target; nothing passes back.
     CutBack,
     /// Open connections are reset.
     Reset,
-    /// Open connections go silent for good.
+    /// Open connections carry nothing any more but are not closed.
     Silence,
 }
 
-/// One trouble.
+/// A fault or planned work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
-    /// To the process of an entry.
+    /// Signal to an entry.
     Entry(usize, Signal),
-    /// To the process of a daemon beside an engine.
+    /// Signal to a sidecar.
     Sidecar(usize, Signal),
-    /// Between a daemon, entries counted first, and the store.
-    Store(usize, Way),
-    /// To a daemon, entries counted first, from the others.
-    Peers(usize, Way),
-    /// To an upstream, engines counted first.
-    Upstream(usize, Way),
-    /// Requests that an upstream runs get no answer, a failure or a late one.
+    /// Fault on the path from a daemon, entries counted first, to the store.
+    Store(usize, PathFault),
+    /// Fault on the path from other daemons to one, entries counted first.
+    Peers(usize, PathFault),
+    /// Fault on the path to an upstream, engines counted first.
+    Upstream(usize, PathFault),
+    /// An upstream's answers are lost, failures, late, reset or never sent.
     Answers(usize, Fault),
-    /// The engine restarts empty.
+    /// An engine restarts without adapters.
     Restart(usize),
     /// Store calls fail, are late, or take effect without an answer.
     Calls(Fault),
-    /// The store drops its history.
+    /// The store drops its change history.
     Forget,
-    /// A new configuration, which withdraws the guests' key.
+    /// The operator writes a configuration that withdraws the last guest key.
     Configure(u64),
-    /// A new version of an adapter.
+    /// The operator announces a new version of an adapter.
     Announce(usize),
-    /// An upstream says that it is leaving, and later that it stays.
+    /// An upstream is registered as leaving and, at the end, as staying.
     Leave(usize),
 }
 
 impl Trouble {
-    /// Whether it is planned work, in which no request may be lost.
+    /// Whether this is planned work, during which no request may be lost.
     pub fn is_planned(self) -> bool {
         matches!(
             self,
@@ -85,19 +85,19 @@
     }
 }
 
-/// A trouble with its times.
+/// A trouble with its start and duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timed {
-    /// Since the round began.
+    /// Start, from the beginning of the round.
     pub at: Duration,
-    /// How long it lasts.
+    /// Duration.
     pub lasts: Duration,
-    /// What it is.
+    /// The trouble itself.
     pub trouble: Trouble,
 }
 
-/// The troubles of one round; they overlap. Only planned work if `planned`.
-pub fn round(random: &mut Random, fleet: &Fleet, planned: bool) -> Vec<Timed> {
+/// Draws the overlapping troubles of a round; all are planned work if `planned`.
+pub fn draw_round(random: &mut Random, fleet: &Fleet, planned: bool) -> Vec<Timed> {
     let count = 2 + random.below(5) as usize;
     let mut drawn = Vec::new();
     while drawn.len() < count {
@@ -118,9 +118,16 @@
     let host = one_of(fleet.hosts().count());
     let upstream = one_of(fleet.upstreams().count());
     let signal = [Signal::Kill, Signal::Pause, Signal::Terminate, Signal::Reload][one_of(4)];
-    let ways =
-        [Way::Late, Way::Cut, Way::CutThere, Way::CutBack, Way::Reset, Way::Silence, Way::Cut];
-    let way = ways[one_of(ways.len())];
+    let faults = [
+        PathFault::Late,
+        PathFault::Cut,
+        PathFault::CutThere,
+        PathFault::CutBack,
+        PathFault::Reset,
+        PathFault::Silence,
+        PathFault::Cut,
+    ];
+    let fault = faults[one_of(faults.len())];
     let late = Fault::LateAnswer { millis: 300 };
     let answers = [Fault::LoseAnswer, Fault::ErrorAnswer, late, Fault::Reset, Fault::Silent];
     let calls =
@@ -128,9 +135,9 @@
     match one_of(14) {
         0 | 1 => Trouble::Entry(entry, signal),
         2 => Trouble::Sidecar(engine, signal),
-        3 => Trouble::Store(host, way),
-        4 => Trouble::Peers(host, way),
-        5 | 6 => Trouble::Upstream(upstream, way),
+        3 => Trouble::Store(host, fault),
+        4 => Trouble::Peers(host, fault),
+        5 | 6 => Trouble::Upstream(upstream, fault),
         7 => Trouble::Answers(upstream, answers[one_of(answers.len())]),
         8 => Trouble::Restart(engine),
         9 => Trouble::Calls(calls[one_of(calls.len())]),
@@ -141,30 +148,30 @@
     }
 }
 
-/// Brings a trouble about and ends it when its time is over.
-pub async fn bring(fleet: &Fleet, timed: Timed) -> io::Result<()> {
+/// Applies a trouble at its start and ends it after its duration.
+pub async fn apply(fleet: &Fleet, timed: Timed) -> io::Result<()> {
     tokio::time::sleep(timed.at).await;
     let lasts = timed.lasts;
     let host = |at: usize| fleet.hosts().nth(at).expect("drawn among the daemons");
     let upstream = |at: usize| fleet.upstreams().nth(at).expect("drawn among the upstreams");
     match timed.trouble {
-        Trouble::Entry(at, signal) => send(&fleet.entries[at], signal, lasts).await?,
-        Trouble::Sidecar(at, signal) => send(&fleet.sidecars[at], signal, lasts).await?,
-        Trouble::Store(at, way) => disturb(&host(at).store, way, lasts).await,
-        Trouble::Peers(at, way) => disturb(&host(at).peers, way, lasts).await,
-        Trouble::Upstream(at, way) => disturb(&upstream(at).proxy, way, lasts).await,
-        Trouble::Answers(at, fault) => set(upstream(at).runner.server(), fault, lasts).await,
+        Trouble::Entry(at, signal) => send_signal(&fleet.entries[at], signal, lasts).await?,
+        Trouble::Sidecar(at, signal) => send_signal(&fleet.sidecars[at], signal, lasts).await?,
+        Trouble::Store(at, fault) => disturb_path(&host(at).store, fault, lasts).await,
+        Trouble::Peers(at, fault) => disturb_path(&host(at).peers, fault, lasts).await,
+        Trouble::Upstream(at, fault) => disturb_path(&upstream(at).proxy, fault, lasts).await,
+        Trouble::Answers(at, fault) => set_fault(upstream(at).runner.server(), fault, lasts).await,
         Trouble::Restart(at) => fleet.engines[at].runner.server().order(FaultOrder::Restart),
-        Trouble::Calls(fault) => set(fleet.store.server(), fault, lasts).await,
+        Trouble::Calls(fault) => set_fault(fleet.store.server(), fault, lasts).await,
         Trouble::Forget => fleet.store.forget(),
         Trouble::Configure(step) => fleet.operator.configure(&fleet.store, step),
         Trouble::Announce(adapter) => fleet.announce(ADAPTERS[adapter]),
-        Trouble::Leave(at) => leave(fleet, upstream(at), lasts).await,
+        Trouble::Leave(at) => leave_and_return(fleet, upstream(at), lasts).await,
     }
     Ok(())
 }
 
-async fn send(host: &Rc<Host>, signal: Signal, lasts: Duration) -> io::Result<()> {
+async fn send_signal(host: &Rc<Host>, signal: Signal, lasts: Duration) -> io::Result<()> {
     match signal {
         Signal::Kill => host.daemon.borrow_mut().kill(),
         Signal::Reload => host.daemon.borrow().reload()?,
@@ -176,35 +183,35 @@
         Signal::Terminate => {
             host.daemon.borrow().terminate()?;
             tokio::time::sleep(lasts).await;
-            // By now it may be another process; that one stops as well.
+            // The process may have been restarted meanwhile; the new one stops as well.
             host.daemon.borrow().terminate()?;
         }
     }
     Ok(())
 }
 
-async fn disturb(proxy: &Proxy, way: Way, lasts: Duration) {
-    const LATE: Flow = Flow::Late(Duration::from_millis(40));
-    let path = match way {
-        Way::Late => Path { there: LATE, back: LATE },
-        Way::Cut => Path::CUT,
-        Way::CutThere => Path { there: Flow::Held, back: Flow::Open },
-        Way::CutBack => Path { there: Flow::Open, back: Flow::Held },
-        Way::Reset => return proxy.reset(),
-        Way::Silence => return proxy.silence(),
+async fn disturb_path(proxy: &Proxy, fault: PathFault, lasts: Duration) {
+    const DELAY: Flow = Flow::Late(Duration::from_millis(40));
+    let flows = match fault {
+        PathFault::Late => Flows { to_target: DELAY, from_target: DELAY },
+        PathFault::Cut => Flows::CUT,
+        PathFault::CutThere => Flows { to_target: Flow::Held, from_target: Flow::Open },
+        PathFault::CutBack => Flows { to_target: Flow::Open, from_target: Flow::Held },
+        PathFault::Reset => return proxy.reset(),
+        PathFault::Silence => return proxy.silence(),
     };
-    proxy.set(path);
+    proxy.set(flows);
     tokio::time::sleep(lasts).await;
-    proxy.set(Path::default());
+    proxy.set(Flows::default());
 }
 
-async fn set(server: &Server, fault: Fault, lasts: Duration) {
+async fn set_fault(server: &Server, fault: Fault, lasts: Duration) {
     let id = server.set(Rule::new(fault));
     tokio::time::sleep(lasts).await;
     server.order(FaultOrder::Clear(id));
 }
 
-async fn leave(fleet: &Fleet, upstream: &Upstream, lasts: Duration) {
+async fn leave_and_return(fleet: &Fleet, upstream: &Upstream, lasts: Duration) {
     fleet.register(upstream, true);
     tokio::time::sleep(lasts).await;
     fleet.register(upstream, false);
--- a/kingcupbay_soak/tests/promises.rs
+++ b/kingcupbay_soak/tests/promises.rs
@@ -1,4 +1,4 @@
-//! Each promise is seen to be broken where it is.
+//! Checks that [`breaches`] reports each promise that is broken, and only that.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,34 +10,34 @@
 use actix_http::Method;
 use kingcupbay_soak::{
     operator::{CLUB, GUESTS, WINERY, guest_key},
-    promises::{Evidence, Witness, breaches},
+    promises::{Record, UpstreamRecord, breaches},
     sent::{Answer, End, Kind, Sent},
 };
 use kingcupbay_standin::{RunnerOrder, RunnerRun};
 
-/// One request of each shape, its answer, and the run that made it.
+/// Requests with their answers, and the record of one upstream.
 struct Case {
     sent: Vec<Sent>,
-    witness: Witness,
+    upstream: UpstreamRecord,
     planned: BTreeSet<u32>,
     numbers: BTreeSet<u64>,
-    begun: Instant,
+    start: Instant,
 }
 
 impl Case {
     fn new() -> Case {
-        let witness =
-            Witness { id: "desk-0".to_owned(), runs: vec![], orders: vec![], overloads: 0 };
+        let upstream =
+            UpstreamRecord { id: "desk-0".to_owned(), runs: vec![], orders: vec![], overloads: 0 };
         Case {
             sent: vec![],
-            witness,
+            upstream,
             planned: BTreeSet::from([1]),
             numbers: BTreeSet::from([1, 2, 3]),
-            begun: Instant::now(),
+            start: Instant::now(),
         }
     }
 
-    /// A booking that ran and was answered.
+    /// A booking that ran once and was answered.
     fn booked() -> Case {
         let mut case = Case::new();
         case.sends("a", Kind::Book, WINERY);
@@ -59,7 +59,7 @@
             body: "two seats".to_owned(),
             adapter: None,
             tokens: 1_000,
-            at: self.begun,
+            at: self.start,
             newest: 3,
             end: None,
         });
@@ -69,7 +69,7 @@
     fn runs(&mut self, attempt: &str) -> &mut RunnerRun {
         let sent = self.sent.iter().find(|one| one.attempt == attempt).unwrap();
         let headers = BTreeMap::from([("x-tenant".to_owned(), sent.organisation.to_owned())]);
-        self.witness.runs.push(RunnerRun {
+        self.upstream.runs.push(RunnerRun {
             attempt: attempt.to_owned(),
             at: sent.at,
             method: Method::try_from(sent.kind.method().as_str()).unwrap(),
@@ -77,7 +77,7 @@
             path: sent.path.clone(),
             body: sent.body.clone().into_bytes(),
         });
-        self.witness.runs.last_mut().unwrap()
+        self.upstream.runs.last_mut().unwrap()
     }
 
     fn answers(&mut self, attempt: &str, status: u16) -> &mut Answer {
@@ -90,12 +90,12 @@
             body: "done by desk-0".to_owned(),
         };
         let End::Answered(answer) = sent.end.insert(End::Answered(answer)) else {
-            unreachable!("it was just put there")
+            unreachable!("the answer was just inserted")
         };
         answer
     }
 
-    /// A guest with the key of configuration `number`.
+    /// Adds a guest request with the key of configuration `number`.
     fn guest(&mut self, attempt: &str, number: u64, status: u16) {
         self.sends(attempt, Kind::Guest, GUESTS).key = guest_key(number);
         if status == 200 {
@@ -104,64 +104,64 @@
         self.answers(attempt, status);
     }
 
-    fn broken(&self) -> Vec<&'static str> {
-        let witnesses = [self.witness.clone()];
-        let evidence = Evidence {
+    fn broken_promises(&self) -> Vec<&'static str> {
+        let upstreams = [self.upstream.clone()];
+        let record = Record {
             sent: &self.sent,
-            witnesses: &witnesses,
+            upstreams: &upstreams,
             planned: &self.planned,
             numbers: &self.numbers,
         };
-        breaches(&evidence).into_iter().map(|breach| breach.promise).collect()
+        breaches(&record).into_iter().map(|breach| breach.promise).collect()
     }
 }
 
 #[test]
 fn a_booking_that_ran_once_keeps_all() {
-    assert_eq!(Case::booked().broken(), Vec::<&str>::new());
+    assert_eq!(Case::booked().broken_promises(), Vec::<&str>::new());
 }
 
 #[test]
 fn a_second_run_is_seen() {
     let mut case = Case::booked();
     case.runs("a");
-    assert_eq!(case.broken(), ["it runs at most so often"]);
+    assert_eq!(case.broken_promises(), ["it runs at most so often"]);
 }
 
 #[test]
 fn a_refusal_that_ran_is_seen() {
     let mut case = Case::booked();
     case.answers("a", 503);
-    assert_eq!(case.broken(), ["what is refused has not run"]);
+    assert_eq!(case.broken_promises(), ["what is refused has not run"]);
 }
 
 #[test]
 fn a_run_that_nobody_sent_is_seen() {
     let mut case = Case::booked();
-    case.witness.runs[0].attempt = "b".to_owned();
-    let broken = case.broken();
-    assert!(broken.contains(&"nobody sent it"), "{broken:?}");
+    case.upstream.runs[0].attempt = "b".to_owned();
+    let broken_promises = case.broken_promises();
+    assert!(broken_promises.contains(&"nobody sent it"), "{broken_promises:?}");
 }
 
 #[test]
 fn a_changed_request_is_seen() {
     let mut case = Case::booked();
-    case.witness.runs[0].body.push(b'!');
-    assert_eq!(case.broken(), ["the request is unchanged"]);
+    case.upstream.runs[0].body.push(b'!');
+    assert_eq!(case.broken_promises(), ["the request is unchanged"]);
 }
 
 #[test]
 fn a_key_that_is_passed_on_is_seen() {
     let mut case = Case::booked();
-    case.witness.runs[0].headers.insert("authorization".to_owned(), "Bearer k".to_owned());
-    assert_eq!(case.broken(), ["it runs for its key's organisation"]);
+    case.upstream.runs[0].headers.insert("authorization".to_owned(), "Bearer k".to_owned());
+    assert_eq!(case.broken_promises(), ["it runs for its key's organisation"]);
 }
 
 #[test]
 fn an_answer_to_another_request_is_seen() {
     let mut case = Case::booked();
     case.answers("a", 200).attempt = Some("b".to_owned());
-    assert_eq!(case.broken(), ["a success is whole and its own"]);
+    assert_eq!(case.broken_promises(), ["a success is whole and its own"]);
 }
 
 #[test]
@@ -171,21 +171,21 @@
     case.runs("a");
     case.answers("a", 200).body =
         (1..=20).map(|id| format!("id: {id}\ndata: event {id} of a\n\n")).collect();
-    assert_eq!(case.broken(), Vec::<&str>::new());
+    assert_eq!(case.broken_promises(), Vec::<&str>::new());
     let twice = "id: 20\ndata: event 20 of a\n\n";
     case.answers("a", 200).body =
         (1..=20).map(|id| format!("id: {id}\ndata: event {id} of a\n\n")).collect::<String>()
             + twice;
-    assert_eq!(case.broken(), ["a success is whole and its own"]);
+    assert_eq!(case.broken_promises(), ["a success is whole and its own"]);
 }
 
 #[test]
 fn a_request_that_planned_work_cuts_is_seen() {
     let mut case = Case::booked();
     case.sent[0].end = Some(End::Broken("early".to_owned()));
-    assert_eq!(case.broken(), ["planned work loses nothing"]);
+    assert_eq!(case.broken_promises(), ["planned work loses nothing"]);
     case.sent[0].round = 2;
-    assert_eq!(case.broken(), Vec::<&str>::new());
+    assert_eq!(case.broken_promises(), Vec::<&str>::new());
 }
 
 #[test]
@@ -194,9 +194,9 @@
     case.guest("a", 2, 200);
     case.guest("b", 3, 200);
     case.guest("c", 2, 401);
-    assert_eq!(case.broken(), Vec::<&str>::new());
+    assert_eq!(case.broken_promises(), Vec::<&str>::new());
     case.guest("d", 2, 200);
-    assert_eq!(case.broken(), ["a configuration never goes back"]);
+    assert_eq!(case.broken_promises(), ["a configuration never goes back"]);
 }
 
 #[test]
@@ -204,14 +204,14 @@
     let mut case = Case::new();
     case.guest("a", 3, 200);
     case.guest("b", 3, 401);
-    assert_eq!(case.broken(), ["a configuration never goes back"]);
+    assert_eq!(case.broken_promises(), ["a configuration never goes back"]);
 }
 
 #[test]
 fn a_key_that_never_was_is_seen() {
     let mut case = Case::new();
     case.guest("a", 7, 200);
-    assert_eq!(case.broken(), ["an unknown key opens nothing"]);
+    assert_eq!(case.broken_promises(), ["an unknown key opens nothing"]);
 }
 
 #[test]
@@ -223,7 +223,7 @@
         case.runs(&attempt);
         case.answers(&attempt, 200);
         let allowed = at <= 69;
-        assert_eq!(case.broken().is_empty(), allowed, "{at}");
+        assert_eq!(case.broken_promises().is_empty(), allowed, "{at}");
     }
 }
 
@@ -231,12 +231,12 @@
 fn orders_out_of_order_are_seen() {
     let mut case = Case::new();
     let order = |holder: &str, fencing| RunnerOrder { holder: holder.to_owned(), fencing };
-    case.witness.orders = vec![order("h", 3), order("h", 3), order("h", 5)];
-    assert_eq!(case.broken(), Vec::<&str>::new());
-    case.witness.orders.push(order("g", 4));
-    case.witness.overloads = 1;
+    case.upstream.orders = vec![order("h", 3), order("h", 3), order("h", 5)];
+    assert_eq!(case.broken_promises(), Vec::<&str>::new());
+    case.upstream.orders.push(order("g", 4));
+    case.upstream.overloads = 1;
     assert_eq!(
-        case.broken(),
+        case.broken_promises(),
         [
             "no order beyond the places",
             "one host orders an engine",
--- a/kingcupbay_soak/tests/soak.rs
+++ b/kingcupbay_soak/tests/soak.rs
@@ -1,60 +1,59 @@
-//! The soak itself: short seeded runs, and seeds that once failed.
+//! Short seeded runs of the soak, among them seeds that have failed.
 
 #![allow(clippy::unwrap_used)]
 
 use std::path::{Path, PathBuf};
 
 use kingcupbay_soak::{
-    daemon::{Workshop, beside},
+    daemon::{DaemonFiles, daemon_program},
     fleet::Size,
-    run::{Outcome, Plan, play},
+    run::{Outcome, Plan, execute},
 };
 
-/// Plays `seed` with three entries, all of which read the store.
+/// Runs `seed` with three entries, all of which read the store.
 async fn soak(seed: u64, rounds: u32) -> Outcome {
     soak_with(3, seed, rounds).await
 }
 
-/// Plays `seed`; what the processes wrote stays in a folder of its own.
+/// Runs `seed` with settings and logs in a separate folder.
 async fn soak_with(entries: usize, seed: u64, rounds: u32) -> Outcome {
-    let program = beside(Path::new(env!("CARGO_BIN_EXE_kingcupbay_soak")));
+    let program = daemon_program(Path::new(env!("CARGO_BIN_EXE_kingcupbay_soak")));
     assert!(program.exists(), "build the workspace's programs first: {}", program.display());
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{entries}-{seed}"));
-    let size = Size { entries, engines: 3, desks: 2 };
-    let workshop = Workshop { program, folder };
-    play(&Plan { seed, rounds, size, callers: 3, workshop }).await.unwrap()
+    let size = Size { entries, engines: 3, services: 2 };
+    let files = DaemonFiles { program, folder };
+    execute(&Plan { seed, rounds, size, callers: 3, files }).await.unwrap()
 }
 
-fn kept(outcome: &Outcome) {
+fn assert_promises_kept(outcome: &Outcome) {
     assert!(outcome.served > 0, "{outcome:?}");
-    let seen: Vec<String> = outcome.breaches.iter().map(ToString::to_string).collect();
-    assert!(seen.is_empty(), "{seen:#?}\nafter {:#?}", outcome.troubles);
+    let details: Vec<String> = outcome.breaches.iter().map(ToString::to_string).collect();
+    assert!(details.is_empty(), "{details:#?}\nafter {:#?}", outcome.troubles);
 }
 
-/// Processes are killed, paused and stopped, and ways cut, while callers go on.
-/// Whatever becomes of single requests, no promise is broken, and afterwards
-/// everything is served again.
+/// Guards against broken promises and failed recovery while processes are killed,
+/// paused and stopped and network paths are cut.
 #[actix_rt::test]
 async fn promises_hold_through_two_rounds() {
-    kept(&soak(1, 2).await);
+    assert_promises_kept(&soak(1, 2).await);
 }
 
-/// Some entries hear from others what the store holds; these are killed, paused and cut
-/// off like all.
+/// Guards against the same in a larger fleet, where some entries do not read the
+/// store but learn its contents from readers that may fail.
 #[actix_rt::test]
 async fn promises_hold_where_entries_listen() {
-    kept(&soak_with(7, 800, 2).await);
+    assert_promises_kept(&soak_with(7, 800, 2).await);
 }
 
-/// Seed 21 stopped the soak itself: while a proxy held a piece back for being
-/// late, its way was changed, and the one thread waited for itself.
+/// Guards against a deadlock of the soak: with seed 21 the flows of a proxy change
+/// while it delays a chunk, and the thread waits for its own borrow.
 #[actix_rt::test]
-async fn a_way_that_changes_while_it_is_late_stops_nothing() {
-    kept(&soak(21, 3).await);
+async fn changing_a_delayed_path_does_not_block_the_soak() {
+    assert_promises_kept(&soak(21, 3).await);
 }
 
-/// Seed 34 stopped it in the same way, with an engine that restarts empty.
+/// Guards against the same deadlock with seed 34, where an engine restarts empty.
 #[actix_rt::test]
-async fn a_way_that_changes_while_an_engine_restarts_stops_nothing() {
-    kept(&soak(34, 3).await);
+async fn changing_a_path_during_an_engine_restart_does_not_block_the_soak() {
+    assert_promises_kept(&soak(34, 3).await);
 }
