--- a/kingcupbay_bench/src/capacity/config.rs
+++ b/kingcupbay_bench/src/capacity/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: its memory, its snapshot, and a patch.
+//! Measures the configuration: its memory, its snapshot and a patch.
 
 use std::collections::BTreeSet;
 
@@ -15,7 +15,7 @@
 
 use super::{
     ADAPTERS, Figures, Table,
-    measure::{keep, mean, median, resident},
+    measure::{leak, mean_cpu_micros, median_cpu_micros, resident_bytes},
 };
 
 pub(super) const TABLE: Table = Table {
@@ -33,19 +33,20 @@
     ],
 };
 
-const MIB: f64 = 1_048_576.0;
+const BYTES_PER_MIB: f64 = 1_048_576.0;
 
-/// Base models of the target.
-const BASES: u32 = 3;
+/// Number of base models in the target fleet.
+const BASE_MODELS: u32 = 3;
 
-/// Access keys of each organisation: one in use and one to change to.
-const KEYS: u32 = 2;
+/// Access keys per organisation: one in use and one to change to.
+const KEYS_PER_ORGANISATION: u32 = 2;
 
-/// Lookups timed.
-const LOOKUPS: u32 = 2_000;
+/// Number of lookups that are timed.
+const TIMED_LOOKUPS: u32 = 2_000;
 
-/// Organisations, upstreams and members beside that many adapters.
-fn others(adapters: u32) -> (u32, u32, u32) {
+/// Returns the organisations, upstreams and members of a fleet with that many
+/// adapters.
+fn other_rows(adapters: u32) -> (u32, u32, u32) {
     match adapters {
         ..10_000 => (5, 36, 26),
         10_000..50_000 => (100, 180, 100),
@@ -65,19 +66,19 @@
     name(&format!("organisation-{number:03}"))
 }
 
-/// The name of a base model.
+/// Returns the name of a base model.
 pub(super) fn base(number: u32) -> Name {
-    name(&format!("base-{}", number % BASES))
+    name(&format!("base-{}", number % BASE_MODELS))
 }
 
-/// Organisations, keys and adapters with one version each.
+/// Creates a configuration with that many adapters of one version each.
 fn config(adapters: u32) -> Config {
-    let (organisations, upstreams, members) = others(adapters);
+    let (organisations, upstreams, members) = other_rows(adapters);
     let mut config = Config::default();
     for number in 0..organisations {
         let name = organisation(number);
         change(&mut config, Change::SetOrganisation { name, rate: 2_000, burst: 60_000 });
-        for key in 0..KEYS {
+        for key in 0..KEYS_PER_ORGANISATION {
             let label = self::name(&format!("key-{number:03}-{key}"));
             let hash = KeyHash::of(label.as_str());
             let organisation = organisation(number);
@@ -109,20 +110,20 @@
     Change::SetVersion { adapter: adapter(number), label: name(label), source }
 }
 
-/// The row of an upstream.
+/// Returns the change that adds an upstream.
 pub(super) fn upstream(number: u32) -> Change {
     let upstream = Upstream {
         name: name(&format!("runner-{number:03}")),
         host: name(&format!("host-{number:03}")),
         address: format!("127.0.0.1:{}", 10_000 + number),
-        zone: name(&format!("zone-{}", number / BASES % 5)),
+        zone: name(&format!("zone-{}", number / BASE_MODELS % 5)),
         serves: Serves::Model { base: base(number), slots: 16, fenced: true },
         leaving: false,
     };
     Change::SetUpstream { upstream }
 }
 
-/// The join of a member.
+/// Returns the change by which a member joins.
 pub(super) fn join(number: u32) -> Change {
     Change::Join {
         host: name(&format!("host-{number:03}")),
@@ -133,14 +134,15 @@
     }
 }
 
-/// A member's incarnation; drawn at random by real daemons.
+/// Returns a member's incarnation, which real daemons draw at random.
 pub(super) fn incarnation(number: u32) -> u64 {
-    // The generator of peers steps by another constant; seeds a step apart
-    // would give every daemon the same peers one round later.
+    // The generator that picks peers advances its state by a constant. This factor
+    // differs from it: seeds one step apart would give every daemon the peers of
+    // another one, one round later.
     (u64::from(number) + 1).wrapping_mul(0xd6e8_feb8_6659_fd93).rotate_left(32)
 }
 
-/// The patch that most operators send: a new version of one adapter.
+/// Returns an operator's patch with `changes` against a configuration.
 pub(super) fn patch(against: &Config, changes: Vec<Change>) -> Patch {
     let author = "operator@example".to_owned();
     Patch { id: RequestId([7; 16]), against: against.number, author, changes }
@@ -150,46 +152,52 @@
     Snapshot { config: config(adapters), before: BTreeSet::new() }
 }
 
-/// KiB of one configuration, as it comes out of a snapshot.
+/// Returns the memory of a configuration decoded from a snapshot, in KiB.
 pub(super) fn memory(adapters: u32) -> f64 {
     let snapshot = snapshot(adapters);
     let bytes = rmp_serde::to_vec(&snapshot).expect("a configuration serialises");
-    let before = resident();
+    let before = resident_bytes();
     let copy: Snapshot = rmp_serde::from_slice(&bytes).expect("it was encoded here");
-    let grown = resident() - before;
-    keep((snapshot, copy));
+    let grown = resident_bytes() - before;
+    leak((snapshot, copy));
     grown / 1_024.0
 }
 
+/// Measures the figures of [`TABLE`].
 pub(super) fn figures(adapters: u32) -> Figures {
     let snapshot = snapshot(adapters);
     let bytes = rmp_serde::to_vec(&snapshot).expect("a configuration serialises");
-    let encoded = median(|| rmp_serde::to_vec(&snapshot));
-    let decoded = median(|| rmp_serde::from_slice::<Snapshot>(&bytes));
+    let encoded = median_cpu_micros(|| rmp_serde::to_vec(&snapshot));
+    let decoded = median_cpu_micros(|| rmp_serde::from_slice::<Snapshot>(&bytes));
     let config = &snapshot.config;
     let patch = patch(config, vec![version(adapters / 2, "v2")]);
-    let applied = median(|| config.patched(&patch));
-    let (organisations, ..) = others(adapters);
-    let key = mean(LOOKUPS, |round| config.key(&format!("key-{:03}-0", round % organisations)));
-    let models: Vec<String> =
-        (0..LOOKUPS).map(|at| format!("{}@v1", adapter(at * 7 % adapters).as_str())).collect();
+    let applied = median_cpu_micros(|| config.patched(&patch));
+    let (organisations, ..) = other_rows(adapters);
+    let key = mean_cpu_micros(TIMED_LOOKUPS, |round| {
+        config.key(&format!("key-{:03}-0", round % organisations))
+    });
+    let models: Vec<String> = (0..TIMED_LOOKUPS)
+        .map(|at| format!("{}@v1", adapter(at * 7 % adapters).as_str()))
+        .collect();
     let owner = |round| {
         let adapter = config.adapter_names[&adapter(round * 7 % adapters)];
         config.adapters.get(adapter).expect("the row exists").organisation
     };
-    let owners: Vec<_> = (0..LOOKUPS).map(owner).collect();
-    let version = mean(LOOKUPS, |at| config.version(owners[at as usize], &models[at as usize]));
-    let packed = rmp_serde::to_vec(&patch).expect("a patch serialises");
+    let owners: Vec<_> = (0..TIMED_LOOKUPS).map(owner).collect();
+    let version = mean_cpu_micros(TIMED_LOOKUPS, |at| {
+        config.version(owners[at as usize], &models[at as usize])
+    });
+    let encoded_patch = rmp_serde::to_vec(&patch).expect("a patch serialises");
     let written = accept::patch_txn(Default::default(), 1, &patch);
     let written = serde_json::to_vec(&written).expect("a transaction serialises");
     vec![
-        bytes.len() as f64 / MIB,
+        bytes.len() as f64 / BYTES_PER_MIB,
         encoded / 1e3,
         decoded / 1e3,
         applied / 1e3,
         key,
         version,
-        packed.len() as f64,
+        encoded_patch.len() as f64,
         written.len() as f64,
     ]
 }
--- a/kingcupbay_bench/src/capacity/exchange.rs
+++ b/kingcupbay_bench/src/capacity/exchange.rs
@@ -1,4 +1,4 @@
-//! HTTP's own bytes around one message between daemons.
+//! Measures the bytes of the HTTP head of a message between daemons.
 
 use std::{
     io::{Read, Write},
@@ -14,10 +14,10 @@
     names: &["head of a question, bytes"],
 };
 
-/// Ends a head.
-const END: &[u8] = b"\r\n\r\n";
+/// End of an HTTP head.
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Sends one body as the daemons do and counts the bytes before it.
+/// Sends a body as the daemons do and counts the bytes before it.
 pub(super) fn figures(size: u32) -> Figures {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
     let address = listener.local_addr().expect("it is bound");
@@ -30,14 +30,15 @@
     vec![head.join().expect("the listener has ended") as f64]
 }
 
+/// Receives one request and returns the length of its head in bytes.
 fn head(listener: &TcpListener) -> usize {
     let (mut socket, _) = listener.accept().expect("a client connects");
     let (mut seen, mut part) = (Vec::new(), [0; 8_192]);
     let length = loop {
         let count = socket.read(&mut part).expect("the client sends");
         seen.extend_from_slice(&part[..count]);
-        if let Some(at) = seen.windows(END.len()).position(|bytes| bytes == END) {
-            break at + END.len();
+        if let Some(at) = seen.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END) {
+            break at + HEAD_END.len();
         }
     };
     socket.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n").expect("the client reads");
--- a/kingcupbay_bench/src/capacity/mod.rs
+++ b/kingcupbay_bench/src/capacity/mod.rs
@@ -1,9 +1,9 @@
 //! State, messages and processor time against fleet size.
 //!
-//! [`config`] and [`router`] measure what a daemon keeps per adapter,
-//! [`fleet`] what it spends per member, [`slack`] what entries tell each other,
-//! [`exchange`] the heads around each message. Every figure is taken at three sizes of which the last is the
-//! target's, and [`fit`] says how far a straight line explains them.
+//! [`config`] and [`router`] measure the state of a daemon per adapter, [`fleet`] the
+//! messages and processor time per member, [`slack`] the messages between entries,
+//! and [`exchange`] the HTTP head of a message. Every figure is measured at three
+//! sizes, of which the last is the target's; [`fit`] shows how linear they are.
 
 mod config;
 mod exchange;
@@ -19,22 +19,22 @@
 #[derive(Debug)]
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// Print the names of the rows and measure nothing.
+    /// Print the names of the rows without measuring.
     #[arg(long)]
     rows: bool,
-    /// Seconds of simulated time for each fleet.
+    /// Seconds of simulated time per fleet.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
 }
 
-/// What is measured at one size, in the order of a table's names.
+/// Figures measured at one size, in the order of a table's names.
 type Figures = Vec<f64>;
 
-/// One table: figures of the same names at each size.
+/// A table of the same figures at each size.
 struct Table {
     title: &'static str,
     sizes: [u32; 3],
-    /// One name for each figure, with its unit.
+    /// Name of each figure, with its unit.
     names: &'static [&'static str],
 }
 
@@ -50,16 +50,19 @@
         for (at, name) in self.names.iter().enumerate() {
             let values = [0, 1, 2].map(|size: usize| figures[size][at]);
             let fit = Fit::of(self.sizes.map(f64::from), values);
-            let cells = values.map(cell).join(" | ");
-            let (start, slope) = (cell(fit.start), cell(fit.slope * 1_000.0));
-            println!("| {name} | {cells} | {start} | {slope} | {:.1} % |", fit.residual * 100.0);
+            let cells = values.map(format_cell).join(" | ");
+            let (intercept, slope) = (format_cell(fit.intercept), format_cell(fit.slope * 1_000.0));
+            println!(
+                "| {name} | {cells} | {intercept} | {slope} | {:.1} % |",
+                fit.residual * 100.0
+            );
         }
         println!();
     }
 }
 
-/// Three significant digits, or whole numbers.
-fn cell(value: f64) -> String {
+/// Formats a value with three significant digits, or as a whole number.
+fn format_cell(value: f64) -> String {
     match value.abs() {
         size if size >= 100.0 => format!("{value:.0}"),
         size if size >= 10.0 => format!("{value:.1}"),
@@ -68,11 +71,13 @@
     }
 }
 
+/// Numbers of adapters at which figures are measured.
 const ADAPTERS: [u32; 3] = [3_000, 20_000, 67_000];
 
+/// Numbers of members at which figures are measured.
 const MEMBERS: [u32; 3] = [26, 100, 340];
 
-/// Memory, in a pass of its own before anything else has been freed.
+/// Memory is measured first, before anything has been freed.
 const MEMBER_MEMORY: Table = Table {
     title: "memory, by members",
     sizes: MEMBERS,
--- a/kingcupbay_bench/src/capacity/router.rs
+++ b/kingcupbay_bench/src/capacity/router.rs
@@ -1,4 +1,4 @@
-//! The router: its memory and its decisions.
+//! Measures the router: its memory and the time of its decisions.
 
 use kingcupbay_core::{
     config::model::Config,
@@ -10,7 +10,7 @@
 use super::{
     ADAPTERS, Figures, Table,
     config::{base, upstream},
-    measure::{keep, mean, median, resident},
+    measure::{leak, mean_cpu_micros, median_cpu_micros, resident_bytes},
 };
 
 pub(super) const TABLE: Table = Table {
@@ -24,30 +24,30 @@
     ],
 };
 
-/// Decisions timed.
-const ROUNDS: u32 = 50_000;
+/// Number of decisions that are timed.
+const TIMED_DECISIONS: u32 = 50_000;
 
-/// Routers whose memory is told together.
-const COPIES: u32 = 32;
+/// Number of routers whose memory is measured together.
+const MEASURED_ROUTERS: u32 = 32;
 
-/// Adapter slots of each upstream.
-const SLOTS: u32 = 16;
+/// Adapter slots per upstream.
+const SLOTS_PER_UPSTREAM: u32 = 16;
 
-/// Adapters that one upstream answers for: 67,000 before 600.
-const SHARE: u32 = 112;
+/// Adapters per upstream: 67,000 for 600 upstreams.
+const ADAPTERS_PER_UPSTREAM: u32 = 112;
 
-/// Base models of the target.
-const BASES: u32 = 3;
+/// Number of base models in the target fleet.
+const BASE_MODELS: u32 = 3;
 
 fn loaded(upstream: u32, adapters: u32) -> Vec<VersionId> {
-    let first = upstream / BASES * SLOTS;
-    let each = adapters / BASES;
-    let version = |slot| (first + slot) % each * BASES + upstream % BASES;
-    (0..SLOTS).map(|slot| VersionId::from_raw(version(slot))).collect()
+    let first = upstream / BASE_MODELS * SLOTS_PER_UPSTREAM;
+    let each = adapters / BASE_MODELS;
+    let version = |slot| (first + slot) % each * BASE_MODELS + upstream % BASE_MODELS;
+    (0..SLOTS_PER_UPSTREAM).map(|slot| VersionId::from_raw(version(slot))).collect()
 }
 
 fn upstreams(adapters: u32) -> u32 {
-    adapters.div_ceil(SHARE).max(BASES)
+    adapters.div_ceil(ADAPTERS_PER_UPSTREAM).max(BASE_MODELS)
 }
 
 fn config(upstreams: u32) -> Config {
@@ -72,33 +72,37 @@
     router
 }
 
-/// KiB of one router, out of many so that pages do not blur it.
+/// Returns the memory of a router in KiB, averaged over many because memory is
+/// counted in whole pages.
 pub(super) fn memory(adapters: u32) -> f64 {
     let config = config(upstreams(adapters));
-    let before = resident();
-    for _ in 0..COPIES {
-        keep(router(&config, adapters));
+    let before = resident_bytes();
+    for _ in 0..MEASURED_ROUTERS {
+        leak(router(&config, adapters));
     }
-    (resident() - before) / 1_024.0 / f64::from(COPIES)
+    (resident_bytes() - before) / 1_024.0 / f64::from(MEASURED_ROUTERS)
 }
 
+/// Measures the figures of [`TABLE`].
 pub(super) fn figures(adapters: u32) -> Figures {
     let upstreams = upstreams(adapters);
     let config = config(upstreams);
     let mut router = router(&config, adapters);
-    let taken = median(|| router.on_config(&config));
-    let bases: Vec<Name> = (0..BASES).map(base).collect();
+    let taken = median_cpu_micros(|| router.on_config(&config));
+    let bases: Vec<Name> = (0..BASE_MODELS).map(base).collect();
     let now = |round: u32| Instant::from_micros(u64::from(round) * 8_000);
-    // Draws are spread by a prime stride, so that no cache holds them all.
-    let draw = |round: u32, below: u32| round.wrapping_mul(7_919) % below;
+    // A prime stride spreads the draws, so that no processor cache holds them all.
+    let draw = |round: u32, bound: u32| round.wrapping_mul(7_919) % bound;
     let held: Vec<_> = (0..upstreams).flat_map(|upstream| loaded(upstream, adapters)).collect();
     let choose = |router: &mut Router, at: u32, version: VersionId| {
-        router.choose(now(at), version, &bases[(version.raw() % BASES) as usize], &[])
+        router.choose(now(at), version, &bases[(version.raw() % BASE_MODELS) as usize], &[])
     };
     let count = held.len() as u32;
-    let known = mean(ROUNDS, |at| choose(&mut router, at, held[draw(at, count) as usize]));
-    let any = mean(ROUNDS, |at| {
-        choose(&mut router, ROUNDS + at, VersionId::from_raw(draw(at, adapters)))
+    let known = mean_cpu_micros(TIMED_DECISIONS, |at| {
+        choose(&mut router, at, held[draw(at, count) as usize])
+    });
+    let any = mean_cpu_micros(TIMED_DECISIONS, |at| {
+        choose(&mut router, TIMED_DECISIONS + at, VersionId::from_raw(draw(at, adapters)))
     });
     let reports: Vec<_> = (0..upstreams)
         .map(|upstream| {
@@ -107,7 +111,8 @@
             report
         })
         .collect();
-    let reported =
-        mean(upstreams, |at| router.on_report(UpstreamId::from_raw(at), &reports[at as usize]));
+    let reported = mean_cpu_micros(upstreams, |at| {
+        router.on_report(UpstreamId::from_raw(at), &reports[at as usize]);
+    });
     vec![known, any, reported, taken / 1e3]
 }
--- a/kingcupbay_bench/src/capacity/slack.rs
+++ b/kingcupbay_bench/src/capacity/slack.rs
@@ -1,4 +1,5 @@
-//! What an entry tells each other entry of its rate shares, twice a second.
+//! Measures the message about rate shares that each entry sends to each other one
+//! twice a second.
 
 use kingcupbay_core::{
     id::{Id, Number, OrganisationId},
@@ -10,7 +11,7 @@
     },
 };
 
-use super::{Figures, Table, measure::mean};
+use super::{Figures, Table, measure::mean_cpu_micros};
 
 pub(super) const TABLE: Table = Table {
     title: "slack of rate shares, by organisations with demand",
@@ -18,8 +19,8 @@
     names: &["one message of slack, bytes", "message encoded and decoded, us"],
 };
 
-/// Messages timed.
-const ROUNDS: u32 = 1_000;
+/// Number of messages that are timed.
+const TIMED_MESSAGES: u32 = 1_000;
 
 fn message(organisations: u32) -> Vec<Envelope> {
     let slack = |organisation: u32| Slack {
@@ -36,10 +37,11 @@
     vec![Envelope { from, to, epoch: Number(1_000), message }]
 }
 
+/// Measures the figures of [`TABLE`].
 pub(super) fn figures(organisations: u32) -> Figures {
     let message = message(organisations);
     let bytes = rmp_serde::to_vec(&message).expect("envelopes serialise");
-    let spent = mean(ROUNDS, |_| {
+    let spent = mean_cpu_micros(TIMED_MESSAGES, |_| {
         let bytes = rmp_serde::to_vec(&message).expect("envelopes serialise");
         rmp_serde::from_slice::<Vec<Envelope>>(&bytes).expect("it was encoded here")
     });
--- a/kingcupbay_bench/src/main.rs
+++ b/kingcupbay_bench/src/main.rs
@@ -1,5 +1,5 @@
-//! Load and experiment tool: seeded arrivals and small models of the served
-//! systems drive the decisions of the core, and tables of figures come out.
+//! Load and experiment tool: runs the decisions of the core on seeded arrivals and
+//! small models of the served systems, and prints tables of figures.
 
 mod capacity;
 mod path;
@@ -17,7 +17,7 @@
     experiment: Experiment,
 }
 
-/// The experiments; each prints one table.
+/// The experiments; each prints its tables.
 #[derive(Debug)]
 #[derive(Subcommand)]
 enum Experiment {
--- a/kingcupbay_bench/src/path/mod.rs
+++ b/kingcupbay_bench/src/path/mod.rs
@@ -1,8 +1,8 @@
-//! Latency and processor time of the running path.
+//! Latency and processor time of a running fleet's request path.
 //!
-//! Streams go in turns straight to an engine and through an entry, in one
-//! run, so that both meet the same machine. [`stream`] times one stream,
-//! [`process`] reads what the daemons have used.
+//! Streams are sent alternately to an engine directly and through an entry, so that
+//! both are measured under the same load of the machine. [`stream`] times a stream,
+//! [`process`] reads the resource usage of the daemons.
 
 mod process;
 mod stream;
@@ -19,16 +19,16 @@
 #[derive(Clone, Debug)]
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// Callers' address of the entry.
+    /// Address of the entry for callers.
     #[arg(long, default_value = "127.0.0.1:8080")]
     entry: SocketAddr,
-    /// The engine behind it.
+    /// Address of the engine behind it.
     #[arg(long, default_value = "127.0.0.1:8090")]
     engine: SocketAddr,
     /// The access key.
     #[arg(long, default_value = "kcb_sample")]
     secret: String,
-    /// The model to ask for.
+    /// The model to request.
     #[arg(long, default_value = "tasting@v1")]
     model: String,
     /// Process id of the entry.
@@ -40,10 +40,10 @@
     /// Numbers of concurrent streams.
     #[arg(long, value_delimiter = ',', default_value = "1,64,512")]
     streams: Vec<usize>,
-    /// Tokens of each stream.
+    /// Tokens per stream.
     #[arg(long, default_value_t = 100)]
     tokens: u32,
-    /// Time within which the streams of a turn begin.
+    /// Milliseconds within which the streams of a turn begin.
     #[arg(long, default_value_t = 1_000)]
     spread_ms: u64,
     /// Turns of each kind.
@@ -63,25 +63,25 @@
 }
 
 async fn measure(args: &Args, streams: usize) {
-    let direct = Target::engine(args.engine, &args.model, args.tokens);
-    let through = Target::entry(args.entry, &args.model, &args.secret, args.tokens);
-    // The adapter is loaded before anything is timed.
-    turn(&through, 1, Duration::ZERO).await;
+    let engine = Target::engine(args.engine, &args.model, args.tokens);
+    let entry = Target::entry(args.entry, &args.model, &args.secret, args.tokens);
+    // Loads the adapter before the timed streams.
+    run_streams(&entry, 1, Duration::ZERO).await;
     let spread = Duration::from_millis(args.spread_ms);
-    let (mut straight, mut relayed) = (Times::default(), Times::default());
+    let (mut direct_times, mut path_times) = (Times::default(), Times::default());
     let mut used = [Usage::default(); 2];
     let pids = [args.entry_pid, args.upstream_pid];
     for _ in 0..args.rounds {
-        straight.extend(turn(&direct, streams, spread).await);
+        direct_times.extend(run_streams(&engine, streams, spread).await);
         let before = pids.map(Usage::read);
-        relayed.extend(turn(&through, streams, spread).await);
+        path_times.extend(run_streams(&entry, streams, spread).await);
         let after = pids.map(Usage::read);
         for at in 0..used.len() {
             used[at] = used[at].plus(after[at].since(before[at]));
         }
     }
-    print_times(streams, "direct", &mut straight);
-    print_times(streams, "path", &mut relayed);
+    print_times(streams, "direct", &mut direct_times);
+    print_times(streams, "path", &mut path_times);
     let tokens = f64::from(args.tokens) * streams as f64 * f64::from(args.rounds);
     for (role, used) in ["entry", "upstream"].into_iter().zip(used) {
         let micros = used.time.as_micros() as f64 / tokens;
@@ -94,25 +94,25 @@
     }
 }
 
-/// Runs `streams` streams, which begin one after the other within `spread`:
-/// callers do not all come in the same millisecond.
-async fn turn(target: &Target, streams: usize, spread: Duration) -> Times {
+/// Runs `streams` streams, which begin evenly spread over `spread`, as callers do not
+/// all arrive in the same millisecond.
+async fn run_streams(target: &Target, streams: usize, spread: Duration) -> Times {
     let mut all = Times::default();
     let pause = spread / streams as u32;
-    let late = (0..streams as u32).map(|at| async move {
+    let delayed = (0..streams as u32).map(|at| async move {
         tokio::time::sleep(pause * at).await;
         target.stream().await
     });
-    for times in join_all(late).await {
+    for times in join_all(delayed).await {
         all.extend(times);
     }
     all
 }
 
-fn print_times(streams: usize, way: &str, times: &mut Times) {
+fn print_times(streams: usize, path: &str, times: &mut Times) {
     let first = percentiles(&mut times.first);
     let gap = percentiles(&mut times.gaps);
-    println!("{streams:7}  {way:8} {first}    {gap}    failed {}", times.failed);
+    println!("{streams:7}  {path:8} {first}    {gap}    failed {}", times.failed);
 }
 
 fn percentiles(spans: &mut [Span]) -> String {
--- a/kingcupbay_bench/src/path/process.rs
+++ b/kingcupbay_bench/src/path/process.rs
@@ -1,36 +1,39 @@
-//! What a process has used, as the kernel counts it.
+//! Reads the resource usage of a process from the kernel.
 
 use std::fs;
 
 use kingcupbay_core::time::Span;
 
-/// Kernel ticks a second: fixed at 100 for user programs on Linux.
-const TICKS: u64 = 100;
+/// Clock ticks per second: fixed at 100 for user programs on Linux.
+const TICKS_PER_SECOND: u64 = 100;
 
-/// Bytes of a page.
-const PAGE: u64 = 4_096;
+/// Size of a memory page.
+const PAGE_BYTES: u64 = 4_096;
 
 /// Processor time and memory of one process.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Usage {
     /// Processor time, user and system.
     pub(super) time: Span,
-    /// Resident bytes; a difference never falls below zero.
+    /// Resident bytes; a difference is at least 0.
     pub(super) memory: u64,
 }
 
 impl Usage {
-    /// What process `id` has used so far; zero when there is none.
+    /// Reads the usage of process `id`; zero if there is no such process.
     pub(super) fn read(id: u32) -> Usage {
         let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-        // The name in parentheses may hold spaces; the fields begin behind it.
+        // The process name in parentheses may contain spaces; fields follow it.
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
         let number = |at: usize| fields.get(at).and_then(|text| text.parse().ok()).unwrap_or(0u64);
         let ticks = number(11) + number(12);
-        Usage { time: Span::from_micros(ticks * 1_000_000 / TICKS), memory: number(21) * PAGE }
+        Usage {
+            time: Span::from_micros(ticks * 1_000_000 / TICKS_PER_SECOND),
+            memory: number(21) * PAGE_BYTES,
+        }
     }
 
-    /// What was used since `earlier`.
+    /// Returns the usage since `earlier`.
     pub(super) fn since(self, earlier: Usage) -> Usage {
         Usage {
             time: self.time.saturating_sub(earlier.time),
@@ -38,7 +41,7 @@
         }
     }
 
-    /// Both together.
+    /// Returns the sum of both.
     pub(super) fn plus(self, other: Usage) -> Usage {
         Usage { time: self.time + other.time, memory: self.memory + other.memory }
     }
--- a/kingcupbay_bench/src/path/stream.rs
+++ b/kingcupbay_bench/src/path/stream.rs
@@ -1,4 +1,4 @@
-//! One timed stream.
+//! Runs a stream and times its events.
 
 use std::{net::SocketAddr, time::Instant};
 
@@ -7,17 +7,17 @@
 use kingcupbay_core::{id::RequestId, time::Span};
 use serde_json::{Value, json};
 
-/// Begins each event of a stream.
-const EVENT: &[u8] = b"data: ";
+/// Prefix of each event of a stream.
+const EVENT_PREFIX: &[u8] = b"data: ";
 
 /// Times of many streams.
 #[derive(Debug, Default)]
 pub(super) struct Times {
-    /// From sending to the first event.
+    /// Times from sending the request to the first event.
     pub(super) first: Vec<Span>,
-    /// Between events.
+    /// Times between two events.
     pub(super) gaps: Vec<Span>,
-    /// Streams that were refused or cut.
+    /// Number of streams that were refused or cut off.
     pub(super) failed: u32,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Where streams go.
+/// Endpoint that streams are sent to.
 pub(super) struct Target {
     client: Client,
     url: String,
@@ -39,12 +39,12 @@
 }
 
 impl Target {
-    /// Straight to an engine.
+    /// Creates a target that is an engine.
     pub(super) fn engine(at: SocketAddr, model: &str, tokens: u32) -> Target {
         Target::new(at, model, tokens, None)
     }
 
-    /// Through an entry.
+    /// Creates a target that is an entry.
     pub(super) fn entry(at: SocketAddr, model: &str, secret: &str, tokens: u32) -> Target {
         Target::new(at, model, tokens, Some(secret.to_owned()))
     }
@@ -61,7 +61,7 @@
         Target { client: client.finish(), url, secret, body }
     }
 
-    /// Runs one stream to its end.
+    /// Runs one stream to its end and returns its times.
     pub(super) async fn stream(&self) -> Times {
         let mut times = Times::default();
         let mut body = self.body.clone();
@@ -70,17 +70,18 @@
             Some(secret) => request = request.bearer_auth(secret),
             None => body["request_id"] = json!(random_request()),
         }
-        let began = Instant::now();
+        let start = Instant::now();
         let Ok(mut response) = request.send_json(&body).await else {
             times.failed = 1;
             return times;
         };
-        let mut last = began;
-        let mut whole = false;
+        let mut last = start;
+        let mut complete = false;
         while let Some(Ok(bytes)) = response.next().await {
             let now = Instant::now();
-            let events = bytes.windows(EVENT.len()).filter(|part| *part == EVENT).count();
-            whole |= bytes.windows(6).any(|part| part == b"[DONE]");
+            let events =
+                bytes.windows(EVENT_PREFIX.len()).filter(|part| *part == EVENT_PREFIX).count();
+            complete |= bytes.windows(6).any(|part| part == b"[DONE]");
             for _ in 0..events {
                 let span = Span::from_micros((now - last).as_micros() as u64);
                 match times.first.is_empty() {
@@ -90,7 +91,7 @@
                 last = now;
             }
         }
-        times.failed = u32::from(!whole);
+        times.failed = u32::from(!complete);
         times
     }
 }
--- a/kingcupbay_bench/src/serve/bound.rs
+++ b/kingcupbay_bench/src/serve/bound.rs
@@ -1,5 +1,5 @@
-//! The least cold starts possible: one cache of all slots that knows every
-//! later arrival (Belady). It loads on demand, at once, and never restarts.
+//! Lower bound of the cold starts: one cache of all slots that knows every later
+//! arrival (Belady's algorithm). It loads on demand, in no time, and never restarts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,10 +7,10 @@
 
 use super::trace::Arrival;
 
-/// Loads that the arrivals cause with `slots` slots.
-pub(crate) fn least_loads(arrivals: &[Arrival], slots: usize) -> u64 {
+/// Returns the least number of loads that the arrivals need with `slots` slots.
+pub(crate) fn min_loads(arrivals: &[Arrival], slots: usize) -> u64 {
     let mut loads = 0;
-    // Resident versions by their next use; `NEVER` for those without one.
+    // Resident versions by the index of their next use, `NEVER_USED` without one.
     let mut residents: BTreeSet<(usize, VersionId)> = BTreeSet::new();
     let next = next_uses(arrivals);
     for (index, arrival) in arrivals.iter().enumerate() {
@@ -25,13 +25,15 @@
     loads
 }
 
-const NEVER: usize = usize::MAX;
+/// Index of the next use of a version that is not used again.
+const NEVER_USED: usize = usize::MAX;
 
+/// Returns for each arrival the index of the next one of the same version.
 fn next_uses(arrivals: &[Arrival]) -> Vec<usize> {
     let mut later = BTreeMap::new();
-    let mut next = vec![NEVER; arrivals.len()];
+    let mut next = vec![NEVER_USED; arrivals.len()];
     for (index, arrival) in arrivals.iter().enumerate().rev() {
-        next[index] = later.insert(arrival.version, index).unwrap_or(NEVER);
+        next[index] = later.insert(arrival.version, index).unwrap_or(NEVER_USED);
     }
     next
 }
--- a/kingcupbay_bench/src/serve/lru.rs
+++ b/kingcupbay_bench/src/serve/lru.rs
@@ -1,4 +1,5 @@
-//! The baseline: first come first served, least recently used.
+//! The baseline: requests run first come first served, and the least recently used
+//! adapter is evicted.
 
 use std::collections::VecDeque;
 
@@ -22,7 +23,7 @@
     version: VersionId,
     state: State,
     order: u64,
-    used: Instant,
+    last_used: Instant,
 }
 
 /// Queue and slots of one runner under the baseline policy.
@@ -45,21 +46,21 @@
         self.waiting.push_back(entry);
     }
 
-    /// Orders a load for every version that is waited for, in turn, within
-    /// the same budget as the core: without one the store's queue grows beyond
+    /// Orders a load for every version that requests wait for, in their order, within
+    /// the same budget as the core: without a budget the store's queue grows beyond
     /// all deadlines and never recovers.
     pub(crate) fn plan(&mut self, now: Instant, budget: u32) -> Vec<Action> {
         let mut actions = Vec::new();
-        let wanted: Vec<VersionId> = self.waiting.iter().map(|entry| entry.version).collect();
-        let mut freeing = self.slots.iter().filter(|slot| slot.state == State::Unloading).count();
-        let mut seen = Vec::new();
-        for version in wanted {
+        let requested: Vec<VersionId> = self.waiting.iter().map(|entry| entry.version).collect();
+        let mut unloading = self.slots.iter().filter(|slot| slot.state == State::Unloading).count();
+        let mut examined = Vec::new();
+        for version in requested {
             let resident = self.slots.iter().any(|slot| slot.version == version);
-            if resident || seen.contains(&version) {
+            if resident || examined.contains(&version) {
                 continue;
             }
-            seen.push(version);
-            if seen.len() > budget as usize {
+            examined.push(version);
+            if examined.len() > budget as usize {
                 break;
             }
             if self.slots.len() < self.count {
@@ -68,11 +69,11 @@
                     version,
                     state: State::Loading,
                     order: order.seq,
-                    used: now,
+                    last_used: now,
                 });
                 actions.push(Action::Load { version, order });
-            } else if freeing > 0 {
-                freeing -= 1;
+            } else if unloading > 0 {
+                unloading -= 1;
             } else {
                 actions.extend(self.evict());
             }
@@ -84,7 +85,7 @@
         let at = self.waiting.iter().position(|entry| self.is_ready(entry.version))?;
         let entry = self.waiting.remove(at)?;
         let slot = self.slots.iter_mut().find(|slot| slot.version == entry.version)?;
-        slot.used = now;
+        slot.last_used = now;
         self.running.push((entry.request, entry.version));
         Some(entry)
     }
@@ -113,7 +114,7 @@
         self.slots.retain(|slot| slot.order != order.seq);
     }
 
-    /// Empties the slots and gives the requests that were running.
+    /// Empties the slots and returns the requests that were running.
     pub(crate) fn restart(&mut self) -> Vec<RequestId> {
         self.slots.clear();
         self.running.drain(..).map(|(request, _)| request).collect()
@@ -131,11 +132,11 @@
     fn evict(&mut self) -> Option<Action> {
         let order = self.order();
         let idle = |slot: &&mut Slot| {
-            let used = self.running.iter().any(|&(_, version)| version == slot.version);
-            let awaited = self.waiting.iter().any(|entry| entry.version == slot.version);
-            slot.state == State::Loaded && !used && !awaited
+            let pinned = self.running.iter().any(|&(_, version)| version == slot.version);
+            let requested = self.waiting.iter().any(|entry| entry.version == slot.version);
+            slot.state == State::Loaded && !pinned && !requested
         };
-        let victim = self.slots.iter_mut().filter(idle).min_by_key(|slot| slot.used)?;
+        let victim = self.slots.iter_mut().filter(idle).min_by_key(|slot| slot.last_used)?;
         victim.state = State::Unloading;
         victim.order = order.seq;
         Some(Action::Unload { version: victim.version, order })
@@ -146,9 +147,9 @@
         Order { fencing: 0, seq: self.seq }
     }
 
-    fn give_up(&mut self, code: Code, gone: impl Fn(&Entry) -> bool) -> Vec<GivenUp> {
+    fn give_up(&mut self, code: Code, ends: impl Fn(&Entry) -> bool) -> Vec<GivenUp> {
         let (taken, kept): (VecDeque<Entry>, VecDeque<Entry>) =
-            self.waiting.drain(..).partition(|entry| gone(entry));
+            self.waiting.drain(..).partition(|entry| ends(entry));
         self.waiting = kept;
         let retry_after = Span::from_secs(1);
         taken.into_iter().map(|entry| GivenUp { entry, code, retry_after }).collect()
--- a/kingcupbay_bench/src/serve/measure.rs
+++ b/kingcupbay_bench/src/serve/measure.rs
@@ -1,4 +1,4 @@
-//! What one run yields.
+//! Measurements of one run.
 
 use std::collections::BTreeMap;
 
@@ -10,26 +10,28 @@
     pub(crate) requests: u64,
     /// Requests that waited on a cold start.
     pub(crate) stalls: u64,
-    /// How long those waited, until their start or refusal.
+    /// Wait of those requests until their start or refusal.
     pub(crate) stall_waits: Vec<Span>,
     pub(crate) loads: u64,
     pub(crate) refusals: u64,
-    /// How long the refused ones had waited when they were told.
+    /// Wait of the refused requests until their refusal.
     pub(crate) refusal_waits: Vec<Span>,
-    /// Microseconds of places in use, and of all places while there is work.
-    pub(crate) used: u64,
-    pub(crate) offered: u64,
-    /// Times to the first token of requests that came during the flood's
-    /// part of the run; a refused one counts with its caller's patience.
+    /// Microseconds that batch places were in use, and that they were offered while a
+    /// runner had work.
+    pub(crate) busy_micros: u64,
+    pub(crate) offered_micros: u64,
+    /// Times to the first token of requests that arrived during the flood; a refused
+    /// one counts with the longest wait that its caller accepts.
     pub(crate) first_tokens: BTreeMap<OrganisationId, Vec<Span>>,
     pub(crate) wrong_version: u64,
     pub(crate) pinned_eviction: u64,
-    pub(crate) crossed: u64,
+    /// Answers that belong to another request or were sent twice.
+    pub(crate) wrong_answers: u64,
 }
 
 impl Measures {
     pub(crate) fn efficiency(&self) -> f64 {
-        self.used as f64 / self.offered.max(1) as f64
+        self.busy_micros as f64 / self.offered_micros.max(1) as f64
     }
 
     pub(crate) fn stall_p95(&self) -> f64 {
@@ -40,18 +42,18 @@
         percentile(&self.refusal_waits, 0.5)
     }
 
-    /// p95 of the time to the first token of the organisation with the
-    /// longest, `without` aside.
+    /// Returns the p95 time to the first token, in seconds, of the organisation for
+    /// which it is longest, except `without`.
     pub(crate) fn worst_p95(&self, without: OrganisationId) -> f64 {
         let others = self.first_tokens.iter().filter(|&(&id, _)| id != without);
         others.map(|(_, spans)| percentile(spans, 0.95)).fold(0.0, f64::max)
     }
 }
 
-/// The `part` percentile in seconds, 0 of nothing.
-pub(crate) fn percentile(spans: &[Span], part: f64) -> f64 {
+/// Returns the percentile at `fraction` in seconds, 0 if there are no values.
+pub(crate) fn percentile(spans: &[Span], fraction: f64) -> f64 {
     let mut sorted = spans.to_vec();
     sorted.sort_unstable();
-    let at = (sorted.len() as f64 * part).ceil() as usize;
+    let at = (sorted.len() as f64 * fraction).ceil() as usize;
     sorted.get(at.saturating_sub(1)).map_or(0.0, |span| span.as_secs_f64())
 }
--- a/kingcupbay_bench/src/serve/mod.rs
+++ b/kingcupbay_bench/src/serve/mod.rs
@@ -1,17 +1,17 @@
 //! Routing, slots and queue against baselines, in simulated time.
 //!
-//! [`trace`] makes the arrivals, [`sim`] runs them through the core's router,
-//! queues and slots or through the baseline ([`lru`] with random routing),
-//! over a model of engines and of the weight [`store`]. Both policies see the
-//! same arrivals, restarts and failing loads. [`bound`] is what an optimum
-//! with knowledge of the future would load.
+//! [`trace`] generates the arrivals, [`sim`] runs them through the core's router,
+//! queues and slots or through the baseline ([`lru`] with random routing), with
+//! models of the engines and of the weight [`store`]. Both policies receive the
+//! same arrivals, restarts and failing loads. [`bound`] computes the loads of an
+//! optimal cache that knows the future.
 
 mod bound;
-mod desk;
 mod lru;
 mod measure;
 mod model;
 mod random;
+mod scheduler;
 mod sim;
 mod store;
 mod table;
@@ -29,7 +29,7 @@
 use kingcupbay_core::time::Span;
 
 use self::{
-    desk::Tuning,
+    scheduler::Tuning,
     sim::{Policy, Sim},
     table::Row,
     trace::{Flood, Setting},
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// Whose runners and weight store.
+    /// Deployment whose runners and weight store are modelled.
     #[arg(long, value_enum, default_value_t = Size::District)]
     size: Size,
     /// Seeds, counted from 1.
@@ -51,60 +51,60 @@
     /// Threads, each with one seed at a time.
     #[arg(long, default_value_t = 4)]
     threads: u32,
-    /// Requests that a runner generates for at once.
+    /// Requests that run at once on a runner.
     #[arg(long, default_value_t = 8)]
     places: usize,
-    /// Adapter slots of a runner.
+    /// Adapter slots per runner.
     #[arg(long, default_value_t = 16)]
     slots: u32,
-    /// Requests a second for each runner.
+    /// Requests per second and runner.
     #[arg(long, default_value_t = 0.3)]
     demand: f64,
     /// Exponent of the adapters' popularity.
     #[arg(long, default_value_t = 1.5)]
     exponent: f64,
-    /// Loads in flight of each runner instead of eight for the fleet.
+    /// Loads in flight per runner instead of eight for the fleet.
     #[arg(long)]
     each: Option<u32>,
-    /// Load above the mean, as a factor, at which a runner is passed over.
+    /// Ratio to the mean load above which a runner is passed over.
     #[arg(long)]
     bound: Option<f64>,
-    /// Requests on top of that.
+    /// Requests allowed in addition to that ratio.
     #[arg(long)]
     slack: Option<u32>,
-    /// Milliseconds of a wait after which a slot that is always pinned closes.
+    /// Milliseconds to wait for a load before a pinned slot accepts no new requests.
     #[arg(long)]
     patience: Option<u64>,
-    /// Seconds in which a use counts half for the choice of a victim.
+    /// Half-life in seconds of the use counts that decide which version is evicted.
     #[arg(long)]
     half_life: Option<u64>,
-    /// Loads of the budget left alone by prefetching.
+    /// Loads in the budget that prefetching leaves unused.
     #[arg(long)]
     reserve: Option<u32>,
 }
 
-/// Today's two sizes.
+/// Sizes of the modelled deployments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(ValueEnum)]
 enum Size {
-    /// 20 runners, 4 loads a second.
+    /// 20 runners, 4 loads per second.
     District,
-    /// 10 runners, 2 loads a second.
+    /// 10 runners, 2 loads per second.
     Zahradka,
 }
 
 impl Args {
     fn setting(&self) -> Setting {
-        let (runners, loads) = match self.size {
+        let (runners, load_rate) = match self.size {
             Size::District => (20, 4.0),
             Size::Zahradka => (10, 2.0),
         };
         Setting {
             runners,
             slots: self.slots,
-            places: self.places,
-            loads,
-            each: self.each,
+            batch_size: self.places,
+            load_rate,
+            runner_loads: self.each,
             demand: self.demand * f64::from(runners),
             exponent: self.exponent,
             seconds: self.seconds,
@@ -137,7 +137,7 @@
                     if seed > args.seeds {
                         return;
                     }
-                    let row = row(&setting, tuning, seed);
+                    let row = run_seed(&setting, tuning, seed);
                     rows.lock().expect("no thread stops midway").insert(seed, row);
                 }
             });
@@ -147,9 +147,9 @@
     table::print(&setting, &rows);
 }
 
-fn row(setting: &Setting, tuning: Tuning, seed: u64) -> Row {
+fn run_seed(setting: &Setting, tuning: Tuning, seed: u64) -> Row {
     let floods = [Flood::None, Flood::Limited, Flood::Free];
-    let traces = floods.map(|flood| trace::trace(setting, seed, flood));
+    let traces = floods.map(|flood| trace::generate(setting, seed, flood));
     let all = |policy| {
         let run = |arrivals: &Vec<_>| Sim::new(setting, arrivals, seed, policy).run();
         [run(&traces[0]), run(&traces[1]), run(&traces[2])]
@@ -158,6 +158,6 @@
     Row {
         core: all(Policy::Core(tuning)),
         baseline: all(Policy::Baseline),
-        bound: bound::least_loads(&traces[1], slots),
+        min_loads: bound::min_loads(&traces[1], slots),
     }
 }
--- a/kingcupbay_bench/src/serve/model.rs
+++ b/kingcupbay_bench/src/serve/model.rs
@@ -1,4 +1,4 @@
-//! What a run is made of: events, entries, runners and requests.
+//! State of a run: events, entries, runners and requests.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
     time::Instant,
 };
 
-use super::{desk::Desk, trace::Setting};
+use super::{scheduler::Scheduler, trace::Setting};
 
 #[derive(Debug)]
 pub(super) enum Event {
@@ -28,35 +28,35 @@
     Due(usize),
 }
 
-/// One runner: the model of its engine, and the decisions beside it.
+/// A runner: the model of its engine and the scheduler of its sidecar.
 #[derive(Debug)]
 pub(super) struct Runner {
-    pub(super) desk: Desk,
+    pub(super) scheduler: Scheduler,
     pub(super) incarnation: u64,
     pub(super) up: bool,
     pub(super) loaded: Vec<VersionId>,
     pub(super) loading: u32,
     pub(super) running: BTreeMap<usize, VersionId>,
     pub(super) seq: u64,
-    /// Until when places in use were counted.
+    /// Time up to which the use of batch places has been counted.
     pub(super) counted: Instant,
     pub(super) due: Instant,
 }
 
 #[derive(Debug)]
-pub(super) struct Entrance {
+pub(super) struct EntryState {
     pub(super) router: Router,
     pub(super) retries: RetryBudget,
 }
 
 #[derive(Debug, Default)]
 pub(super) struct Request {
-    pub(super) entrance: usize,
+    pub(super) entry: usize,
     pub(super) upstream: usize,
     pub(super) guard: Option<InFlight>,
     pub(super) tried: Vec<UpstreamId>,
     pub(super) stalled: Option<Instant>,
-    /// Tokens generated, and when the attempt that runs began to generate.
+    /// Tokens already generated, and when the current attempt began to generate.
     pub(super) done: u64,
     pub(super) generating: Option<Instant>,
     pub(super) answered: bool,
--- a/kingcupbay_bench/src/serve/random.rs
+++ b/kingcupbay_bench/src/serve/random.rs
@@ -1,14 +1,14 @@
-//! A seeded generator (SplitMix64) and the distributions of the experiment.
+//! A seeded random generator (SplitMix64) and the distributions of the experiment.
 
 use kingcupbay_core::random;
 
-/// The generator's state.
+/// A random generator.
 #[derive(Clone, Debug)]
 pub(crate) struct Random(random::Random);
 
 impl Random {
-    /// The `stream`-th generator of `seed`; streams do not influence each
-    /// other, so one organisation can send more and the others the same.
+    /// Creates the generator number `stream` of `seed`. Streams are independent, so
+    /// that one organisation can send more while the others send the same.
     pub(crate) fn new(seed: u64, stream: u64) -> Random {
         let own = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (stream << 32);
         let mut random = random::Random::new(own);
@@ -16,7 +16,7 @@
         Random(random)
     }
 
-    /// Even over `[0, 1)`.
+    /// Draws from the uniform distribution over `[0, 1)`.
     pub(crate) fn unit(&mut self) -> f64 {
         self.0.unit()
     }
@@ -25,7 +25,7 @@
         (self.unit() * bound as f64) as usize
     }
 
-    /// Exponential with the given mean.
+    /// Draws from the exponential distribution with the given mean.
     pub(crate) fn exponential(&mut self, mean: f64) -> f64 {
         self.0.exponential(mean)
     }
@@ -37,10 +37,10 @@
     }
 }
 
-/// Ranks by Zipf's law.
+/// Distribution of ranks by Zipf's law.
 #[derive(Debug)]
 pub(crate) struct Zipf {
-    /// Sums of the weights up to each rank, the last one 1.
+    /// Cumulative probability up to each rank; the last one is 1.
     sums: Vec<f64>,
 }
 
--- a/kingcupbay_bench/src/serve/desk.rs
+++ b/kingcupbay_bench/src/serve/scheduler.rs
@@ -1,4 +1,4 @@
-//! Queue and slots of one runner, by the core or by the baseline.
+//! Queue and slots of one runner, managed by the core or by the baseline.
 
 use std::collections::BTreeMap;
 
@@ -20,14 +20,14 @@
     pub(crate) route: kingcupbay_core::route::Limits,
 }
 
-/// Decisions beside one runner.
+/// Decides for one runner which adapters are loaded and which requests start.
 #[derive(Debug)]
-pub(crate) enum Desk {
+pub(crate) enum Scheduler {
     Core { queue: Box<Queue>, slots: Box<Slots>, pins: BTreeMap<RequestId, Pin> },
     Lru(Lru),
 }
 
-/// What a change at a runner leads to.
+/// Decisions that a change at a runner leads to.
 #[derive(Debug, Default)]
 pub(crate) struct Step {
     pub(crate) orders: Vec<Action>,
@@ -35,35 +35,36 @@
     pub(crate) given_up: Vec<GivenUp>,
 }
 
-impl Desk {
-    pub(crate) fn core(tuning: &Tuning, slots: u32) -> Desk {
+impl Scheduler {
+    pub(crate) fn core(tuning: &Tuning, slots: u32) -> Scheduler {
         let mut slots = Slots::new(tuning.slot, slots, 1);
         slots.on_incarnation(Instant::default(), 0);
         let queue = Box::new(Queue::new(tuning.queue));
-        Desk::Core { queue, slots: Box::new(slots), pins: BTreeMap::new() }
+        Scheduler::Core { queue, slots: Box::new(slots), pins: BTreeMap::new() }
     }
 
-    pub(crate) fn lru(slots: u32) -> Desk {
-        Desk::Lru(Lru::new(slots))
+    pub(crate) fn lru(slots: u32) -> Scheduler {
+        Scheduler::Lru(Lru::new(slots))
     }
 
     pub(crate) fn push(&mut self, now: Instant, entry: Entry) -> Option<GivenUp> {
         match self {
-            Desk::Core { queue, slots, .. } => {
+            Scheduler::Core { queue, slots, .. } => {
                 slots.touch(now, entry.version);
                 queue.push(now, entry)
             }
-            Desk::Lru(lru) => {
+            Scheduler::Lru(lru) => {
                 lru.push(entry);
                 None
             }
         }
     }
 
-    /// Gives up, orders and starts what is due, `free` starts at most.
+    /// Expires requests, orders loads within `budget` and starts at most `free`
+    /// requests.
     pub(crate) fn step(&mut self, now: Instant, budget: u32, free: usize) -> Step {
         match self {
-            Desk::Core { queue, slots, pins } => {
+            Scheduler::Core { queue, slots, pins } => {
                 let given_up = queue.expire(now);
                 let orders = slots.plan(now, &queue.waits(), budget);
                 let next = std::iter::from_fn(|| {
@@ -75,7 +76,7 @@
                 let started = next.take(free).collect();
                 Step { orders, started, given_up }
             }
-            Desk::Lru(lru) => {
+            Scheduler::Lru(lru) => {
                 let given_up = lru.expire(now);
                 let orders = lru.plan(now, budget);
                 let started = std::iter::from_fn(|| lru.start_next(now)).take(free).collect();
@@ -86,34 +87,35 @@
 
     pub(crate) fn on_load(&mut self, now: Instant, order: Order, outcome: Outcome) -> Vec<GivenUp> {
         match self {
-            Desk::Core { queue, slots, .. } => {
-                let told = slots.on_load(now, order, outcome).into_iter();
-                told.flat_map(|action| match action {
-                    Action::Failed { version, retry_after } => queue.fail(version, retry_after),
-                    _ => Vec::new(),
-                })
-                .collect()
+            Scheduler::Core { queue, slots, .. } => {
+                let actions = slots.on_load(now, order, outcome).into_iter();
+                actions
+                    .flat_map(|action| match action {
+                        Action::Failed { version, retry_after } => queue.fail(version, retry_after),
+                        _ => Vec::new(),
+                    })
+                    .collect()
             }
-            Desk::Lru(lru) => lru.on_load(order, outcome),
+            Scheduler::Lru(lru) => lru.on_load(order, outcome),
         }
     }
 
     pub(crate) fn on_unload(&mut self, now: Instant, order: Order) {
         match self {
-            Desk::Core { slots, .. } => {
+            Scheduler::Core { slots, .. } => {
                 slots.on_unload(now, order, Outcome::Done);
             }
-            Desk::Lru(lru) => lru.on_unload(order),
+            Scheduler::Lru(lru) => lru.on_unload(order),
         }
     }
 
-    /// Takes the engine's new incarnation; the requests that it lost.
+    /// Applies a restart of the engine; returns the requests that it lost.
     pub(crate) fn restart(&mut self, now: Instant, incarnation: u64) -> Vec<RequestId> {
         match self {
-            Desk::Core { queue, slots, pins } => {
+            Scheduler::Core { queue, slots, pins } => {
                 let report = EngineReport { incarnation, as_of: now, loaded: Vec::new() };
-                let told = slots.on_report(now, &report).into_iter();
-                let lost = told.filter_map(|action| match action {
+                let actions = slots.on_report(now, &report).into_iter();
+                let lost = actions.filter_map(|action| match action {
                     Action::Lost { request } => Some(request),
                     _ => None,
                 });
@@ -124,37 +126,38 @@
                 }
                 lost
             }
-            Desk::Lru(lru) => lru.restart(),
+            Scheduler::Lru(lru) => lru.restart(),
         }
     }
 
     pub(crate) fn finish(&mut self, request: RequestId, tokens: u64) {
         match self {
-            Desk::Core { queue, pins, .. } => {
+            Scheduler::Core { queue, pins, .. } => {
                 pins.remove(&request);
                 queue.finish(request, tokens);
             }
-            Desk::Lru(lru) => lru.finish(request),
+            Scheduler::Lru(lru) => lru.finish(request),
         }
     }
 
     pub(crate) fn is_ready(&self, version: VersionId) -> bool {
         match self {
-            Desk::Core { slots, .. } => slots.is_ready(version),
-            Desk::Lru(lru) => lru.is_ready(version),
+            Scheduler::Core { slots, .. } => slots.is_ready(version),
+            Scheduler::Lru(lru) => lru.is_ready(version),
         }
     }
 
     pub(crate) fn waiting(&self) -> usize {
         match self {
-            Desk::Core { queue, .. } => queue.len(),
-            Desk::Lru(lru) => lru.waiting(),
+            Scheduler::Core { queue, .. } => queue.len(),
+            Scheduler::Lru(lru) => lru.waiting(),
         }
     }
 
-    /// What the entries are told; the baseline's entries route at random.
+    /// Returns the load report for the entries; none for the baseline, whose entries
+    /// route at random.
     pub(crate) fn report(&self, running: usize, places: usize, seq: u64) -> Option<Report> {
-        let Desk::Core { queue, slots, .. } = self else { return None };
+        let Scheduler::Core { queue, slots, .. } = self else { return None };
         Some(Report {
             loaded: slots.loaded_versions(),
             running: running as u32,
@@ -164,7 +167,7 @@
         })
     }
 
-    /// How soon something is due without an event.
+    /// Returns when to decide again if no event occurs before.
     pub(crate) fn next_due(&self, now: Instant) -> Option<Instant> {
         (self.waiting() > 0).then_some(now + Span::from_millis(100))
     }
--- a/kingcupbay_bench/src/serve/sim.rs
+++ b/kingcupbay_bench/src/serve/sim.rs
@@ -1,4 +1,4 @@
-//! One run: arrivals, entries, runners and the weight store in simulated time.
+//! Simulates one run: arrivals, entries, runners and the weight store.
 
 use std::collections::BTreeMap;
 
@@ -12,43 +12,43 @@
 };
 
 use super::{
-    desk::{Desk, Tuning},
     measure::Measures,
-    model::{Entrance, Event, Request, Runner, config, index_of, name, request_id},
+    model::{EntryState, Event, Request, Runner, config, index_of, name, request_id},
     random::Random,
-    store::{FULL_SPEED, Store},
-    trace::{Arrival, PATIENCE, Setting},
+    scheduler::{Scheduler, Tuning},
+    store::{FULL_SPEED_LOADS, Store},
+    trace::{Arrival, MAX_FIRST_TOKEN_WAIT, Setting},
 };
 
-/// Entries, over which arrivals are spread at random.
+/// Number of entries; each arrival is sent to a random one.
 const ENTRIES: usize = 3;
 
-/// Time of an unload.
-const UNLOAD: Span = Span::from_millis(10);
+/// Time that an unload takes.
+const UNLOAD_TIME: Span = Span::from_millis(10);
 
-/// Time in which a restarting engine takes no orders.
-const RESTART: Span = Span::from_secs(3);
+/// Time during which a restarting engine accepts no orders.
+const RESTART_TIME: Span = Span::from_secs(3);
 
-/// Parts of the run at which one engine restarts empty.
-const RESTARTS: [f64; 3] = [0.35, 0.6, 0.85];
+/// Fractions of the run after which one engine restarts empty.
+const RESTART_FRACTIONS: [f64; 3] = [0.35, 0.6, 0.85];
 
-/// Part of the loads that fail.
-const FAILING: f64 = 0.02;
+/// Fraction of the loads that fail.
+const FAILING_FRACTION: f64 = 0.02;
 
-/// Time between two reports of a runner, and the time they take.
-const REPORT: Span = Span::from_millis(500);
-const REPORT_LAG: Span = Span::from_millis(700);
+/// Interval between two load reports of a runner, and their delay.
+const REPORT_INTERVAL: Span = Span::from_millis(500);
+const REPORT_DELAY: Span = Span::from_millis(700);
 
-/// Time of one prompt token and of one generated token.
-const PREFILL: Span = Span::from_micros(200);
-const DECODE: Span = Span::from_millis(40);
+/// Time per prompt token and per generated token.
+const PREFILL_PER_TOKEN: Span = Span::from_micros(200);
+const DECODE_PER_TOKEN: Span = Span::from_millis(40);
 
 /// Policy of a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Policy {
     /// The core's router, queue and slots.
     Core(Tuning),
-    /// Random routing, first come first served, least recently used.
+    /// Random routing, first come first served, eviction of the least recently used.
     Baseline,
 }
 
@@ -57,11 +57,11 @@
     setting: &'a Setting,
     arrivals: &'a [Arrival],
     now: Instant,
-    calendar: BTreeMap<(Instant, u64), Event>,
-    events: u64,
+    events: BTreeMap<(Instant, u64), Event>,
+    sequence: u64,
     base: Name,
     random: Random,
-    entrances: Option<Vec<Entrance>>,
+    entries: Option<Vec<EntryState>>,
     runners: Vec<Runner>,
     requests: Vec<Request>,
     store: Store,
@@ -75,12 +75,12 @@
         seed: u64,
         policy: Policy,
     ) -> Sim<'a> {
-        let desk = || match &policy {
-            Policy::Core(tuning) => Desk::core(tuning, setting.slots),
-            Policy::Baseline => Desk::lru(setting.slots),
+        let scheduler = || match &policy {
+            Policy::Core(tuning) => Scheduler::core(tuning, setting.slots),
+            Policy::Baseline => Scheduler::lru(setting.slots),
         };
         let runner = |_| Runner {
-            desk: desk(),
+            scheduler: scheduler(),
             incarnation: 0,
             up: true,
             loaded: Vec::new(),
@@ -90,64 +90,65 @@
             counted: Instant::default(),
             due: Instant::default(),
         };
-        let entrance = |seed: usize, tuning: &Tuning| {
+        let entry = |seed: usize, tuning: &Tuning| {
             let mut router = Router::new(tuning.route, seed as u64);
             router.on_config(&config(setting));
-            Entrance { router, retries: RetryBudget::default() }
+            EntryState { router, retries: RetryBudget::default() }
         };
-        let entrances = match &policy {
-            Policy::Core(tuning) => Some((0..ENTRIES).map(|seed| entrance(seed, tuning)).collect()),
+        let entries = match &policy {
+            Policy::Core(tuning) => Some((0..ENTRIES).map(|seed| entry(seed, tuning)).collect()),
             Policy::Baseline => None,
         };
         Sim {
             setting,
             arrivals,
             now: Instant::default(),
-            calendar: BTreeMap::new(),
-            events: 0,
+            events: BTreeMap::new(),
+            sequence: 0,
             base: name("base"),
             random: Random::new(seed, 1_000),
-            entrances,
+            entries,
             runners: (0..setting.runners).map(runner).collect(),
             requests: arrivals.iter().map(|_| Request::default()).collect(),
-            store: Store::new(setting.loads),
+            store: Store::new(setting.load_rate),
             measures: Measures::default(),
         }
     }
 
-    /// Runs to the end, until the last request is answered.
+    /// Runs until the last request is answered, or until twice the longest wait after
+    /// the last arrival.
     pub(crate) fn run(mut self) -> Measures {
-        for part in RESTARTS {
+        for fraction in RESTART_FRACTIONS {
             let upstream = self.random.below(self.runners.len());
-            self.at(self.setting.part(part), Event::Restart(upstream));
+            self.schedule(self.setting.instant_at(fraction), Event::Restart(upstream));
         }
         for upstream in 0..self.runners.len() {
-            self.at(self.now + REPORT, Event::Tick(upstream));
+            self.schedule(self.now + REPORT_INTERVAL, Event::Tick(upstream));
         }
         self.arrive_next(0);
-        let end = self.setting.end() + PATIENCE + PATIENCE;
-        while let Some(((now, _), event)) = self.calendar.pop_first() {
+        let end = self.setting.end() + MAX_FIRST_TOKEN_WAIT + MAX_FIRST_TOKEN_WAIT;
+        while let Some(((now, _), event)) = self.events.pop_first() {
             if now > end {
                 break;
             }
             self.now = now;
-            self.on(event);
+            self.handle(event);
         }
         self.measures
     }
 
-    fn at(&mut self, when: Instant, event: Event) {
-        self.events += 1;
-        self.calendar.insert((when, self.events), event);
+    fn schedule(&mut self, when: Instant, event: Event) {
+        self.sequence += 1;
+        self.events.insert((when, self.sequence), event);
     }
 
     fn arrive_next(&mut self, index: usize) {
         if let Some(arrival) = self.arrivals.get(index) {
-            self.at(arrival.at, Event::Arrive(index));
+            self.schedule(arrival.at, Event::Arrive(index));
         }
     }
 
-    fn on(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(index) => {
                 self.arrive_next(index + 1);
@@ -171,28 +172,28 @@
             Event::Restart(upstream) => self.on_restart(upstream),
             Event::Up(upstream) => {
                 self.runners[upstream].up = true;
-                self.pump(upstream);
+                self.run_due(upstream);
             }
-            Event::Due(upstream) => self.pump(upstream),
+            Event::Due(upstream) => self.run_due(upstream),
         }
     }
 
     fn on_arrive(&mut self, index: usize) {
         self.measures.requests += 1;
-        self.requests[index].entrance = self.random.below(ENTRIES);
-        if let Some(entrances) = &mut self.entrances {
-            entrances[self.requests[index].entrance].retries.record_first_attempt();
+        self.requests[index].entry = self.random.below(ENTRIES);
+        if let Some(entries) = &mut self.entries {
+            entries[self.requests[index].entry].retries.record_first_attempt();
         }
         self.route(index);
     }
 
-    /// Sends a request to an upstream, or refuses it when there is none.
+    /// Sends a request to an upstream, or refuses it if there is none.
     fn route(&mut self, index: usize) {
         let arrival = self.arrivals[index];
         let request = &mut self.requests[index];
-        let chosen = match &mut self.entrances {
-            Some(entrances) => {
-                let router = &mut entrances[request.entrance].router;
+        let chosen = match &mut self.entries {
+            Some(entries) => {
+                let router = &mut entries[request.entry].router;
                 let chosen = router.choose(self.now, arrival.version, &self.base, &request.tried);
                 request.guard = chosen.and_then(|upstream| router.begin(upstream));
                 chosen
@@ -207,74 +208,74 @@
         let Some(upstream) = chosen else { return self.refuse(index) };
         let upstream = upstream.raw() as usize;
         request.upstream = upstream;
-        let cold = !self.runners[upstream].desk.is_ready(arrival.version);
+        let cold = !self.runners[upstream].scheduler.is_ready(arrival.version);
         if cold && request.stalled.is_none() && request.done == 0 {
             request.stalled = Some(self.now);
             self.measures.stalls += 1;
         }
-        // A caller who has the beginning of an answer waits anew for the rest.
+        // Once a part of the answer is delivered, the wait for the rest starts anew.
         let waits_since = if request.done == 0 { arrival.at } else { self.now };
         let entry = Entry {
             request: request_id(index),
             organisation: arrival.organisation,
             version: arrival.version,
             tokens: arrival.prompt + arrival.permitted,
-            deadline: waits_since + PATIENCE,
+            deadline: waits_since + MAX_FIRST_TOKEN_WAIT,
             enqueued: self.now,
         };
-        self.count(upstream);
-        if let Some(given_up) = self.runners[upstream].desk.push(self.now, entry) {
+        self.count_usage(upstream);
+        if let Some(given_up) = self.runners[upstream].scheduler.push(self.now, entry) {
             self.on_given_up(upstream, given_up);
         }
-        self.pump(upstream);
+        self.run_due(upstream);
     }
 
-    /// Carries out what is due at a runner.
-    fn pump(&mut self, upstream: usize) {
-        self.count(upstream);
+    /// Executes the decisions that are due at a runner.
+    fn run_due(&mut self, upstream: usize) {
+        self.count_usage(upstream);
         let runner = &mut self.runners[upstream];
         if !runner.up {
             return;
         }
-        let budget = match self.setting.each {
-            Some(each) => each.saturating_sub(runner.loading),
-            None => FULL_SPEED.saturating_sub(self.store.in_flight),
+        let budget = match self.setting.runner_loads {
+            Some(runner_loads) => runner_loads.saturating_sub(runner.loading),
+            None => FULL_SPEED_LOADS.saturating_sub(self.store.in_flight),
         };
-        let free = self.setting.places - runner.running.len();
-        let step = runner.desk.step(self.now, budget, free);
+        let free = self.setting.batch_size - runner.running.len();
+        let step = runner.scheduler.step(self.now, budget, free);
         for given_up in step.given_up {
             self.on_given_up(upstream, given_up);
         }
         for order in step.orders {
-            self.order(upstream, order);
+            self.execute_order(upstream, order);
         }
         for entry in step.started {
             self.start(upstream, entry);
         }
         let runner = &mut self.runners[upstream];
-        if let Some(due) = runner.desk.next_due(self.now)
+        if let Some(due) = runner.scheduler.next_due(self.now)
             && runner.due <= self.now
         {
             runner.due = due;
-            self.at(due, Event::Due(upstream));
+            self.schedule(due, Event::Due(upstream));
         }
     }
 
-    fn order(&mut self, upstream: usize, action: Action) {
+    fn execute_order(&mut self, upstream: usize, action: Action) {
         let incarnation = self.runners[upstream].incarnation;
         match action {
             Action::Load { version, order } => {
                 self.measures.loads += 1;
                 self.runners[upstream].loading += 1;
-                let ok = self.random.unit() >= FAILING;
+                let ok = self.random.unit() >= FAILING_FRACTION;
                 let end = self.store.start(self.now);
-                self.at(end, Event::Loaded { upstream, incarnation, version, order, ok });
+                self.schedule(end, Event::Loaded { upstream, incarnation, version, order, ok });
             }
             Action::Unload { version, order } => {
-                let used = self.runners[upstream].running.values().any(|&one| one == version);
+                let used = self.runners[upstream].running.values().any(|&other| other == version);
                 self.measures.pinned_eviction += u64::from(used);
-                let when = self.now + UNLOAD;
-                self.at(when, Event::Unloaded { upstream, incarnation, version, order });
+                let when = self.now + UNLOAD_TIME;
+                self.schedule(when, Event::Unloaded { upstream, incarnation, version, order });
             }
             _ => {}
         }
@@ -284,42 +285,53 @@
         let index = index_of(entry.request);
         let arrival = self.arrivals[index];
         let runner = &mut self.runners[upstream];
-        let right = entry.version == arrival.version && runner.loaded.contains(&arrival.version);
-        self.measures.wrong_version += u64::from(!right);
+        let correct = entry.version == arrival.version && runner.loaded.contains(&arrival.version);
+        self.measures.wrong_version += u64::from(!correct);
         runner.running.insert(index, arrival.version);
         let request = &mut self.requests[index];
         if let Some(since) = request.stalled.take() {
             self.measures.stall_waits.push(self.now.since(since));
         }
-        let prefill = Span::from_micros(PREFILL.as_micros() * (arrival.prompt + request.done));
+        let prefill =
+            Span::from_micros(PREFILL_PER_TOKEN.as_micros() * (arrival.prompt + request.done));
         let first = self.now + prefill;
         if request.done == 0 {
-            Self::note_first(&mut self.measures, self.setting, &arrival, first.since(arrival.at));
+            Self::record_first_token(
+                &mut self.measures,
+                self.setting,
+                &arrival,
+                first.since(arrival.at),
+            );
         }
         request.generating = Some(first);
         let left = arrival.output - request.done;
-        let end = first + Span::from_micros(DECODE.as_micros() * left);
+        let end = first + Span::from_micros(DECODE_PER_TOKEN.as_micros() * left);
         let incarnation = runner.incarnation;
-        self.at(end, Event::Finish { upstream, incarnation, request: index });
+        self.schedule(end, Event::Finish { upstream, incarnation, request: index });
     }
 
-    fn note_first(measures: &mut Measures, setting: &Setting, arrival: &Arrival, span: Span) {
-        if arrival.at >= setting.flood() {
+    fn record_first_token(
+        measures: &mut Measures,
+        setting: &Setting,
+        arrival: &Arrival,
+        span: Span,
+    ) {
+        if arrival.at >= setting.flood_start() {
             measures.first_tokens.entry(arrival.organisation).or_default().push(span);
         }
     }
 
     fn on_finish(&mut self, upstream: usize, index: usize) {
-        self.count(upstream);
+        self.count_usage(upstream);
         let arrival = self.arrivals[index];
         let runner = &mut self.runners[upstream];
         let request = &mut self.requests[index];
         let own = runner.running.remove(&index) == Some(arrival.version);
-        self.measures.crossed += u64::from(!own || request.answered);
+        self.measures.wrong_answers += u64::from(!own || request.answered);
         request.answered = true;
         request.guard = None;
-        runner.desk.finish(request_id(index), arrival.prompt + arrival.output);
-        self.pump(upstream);
+        runner.scheduler.finish(request_id(index), arrival.prompt + arrival.output);
+        self.run_due(upstream);
     }
 
     fn on_loaded(
@@ -338,16 +350,16 @@
                 runner.loaded.push(version);
             }
             let outcome = if ok { Outcome::Done } else { Outcome::Failed };
-            for given_up in runner.desk.on_load(self.now, order, outcome) {
+            for given_up in runner.scheduler.on_load(self.now, order, outcome) {
                 self.on_given_up(upstream, given_up);
             }
         }
-        self.pump(upstream);
-        // The budget has room again: whoever waits may use it.
+        self.run_due(upstream);
+        // The budget allows a further load, which another runner may need.
         let count = self.runners.len();
         for other in (1..count).map(|step| (upstream + step) % count) {
-            if self.runners[other].desk.waiting() > 0 {
-                self.pump(other);
+            if self.runners[other].scheduler.waiting() > 0 {
+                self.run_due(other);
             }
         }
     }
@@ -355,32 +367,32 @@
     fn on_unloaded(&mut self, upstream: usize, version: VersionId, order: Order) {
         let runner = &mut self.runners[upstream];
         runner.loaded.retain(|&other| other != version);
-        runner.desk.on_unload(self.now, order);
-        self.pump(upstream);
+        runner.scheduler.on_unload(self.now, order);
+        self.run_due(upstream);
     }
 
     fn on_restart(&mut self, upstream: usize) {
-        self.count(upstream);
+        self.count_usage(upstream);
         let runner = &mut self.runners[upstream];
         runner.incarnation += 1;
         runner.up = false;
         runner.loaded.clear();
         runner.loading = 0;
         runner.running.clear();
-        let lost = runner.desk.restart(self.now, runner.incarnation);
-        self.at(self.now + RESTART, Event::Up(upstream));
+        let lost = runner.scheduler.restart(self.now, runner.incarnation);
+        self.schedule(self.now + RESTART_TIME, Event::Up(upstream));
         for request in lost {
             self.on_lost(upstream, index_of(request));
         }
     }
 
-    /// A running request lost its engine: another resumes after the tokens
-    /// that were delivered.
+    /// Handles the loss of a running request's engine: another engine resumes after
+    /// the tokens that were delivered.
     fn on_lost(&mut self, upstream: usize, index: usize) {
         let output = self.arrivals[index].output;
         let request = &mut self.requests[index];
         if let Some(since) = request.generating.take() {
-            let tokens = self.now.since(since).as_micros() / DECODE.as_micros();
+            let tokens = self.now.since(since).as_micros() / DECODE_PER_TOKEN.as_micros();
             request.done = (request.done + tokens).min(output - 1);
         }
         let progress = match request.done {
@@ -395,8 +407,8 @@
         if given_up.code != Code::LoadFailed {
             return self.refuse(index);
         }
-        if let Some(entrances) = &mut self.entrances {
-            let router = &mut entrances[self.requests[index].entrance].router;
+        if let Some(entries) = &mut self.entries {
+            let router = &mut entries[self.requests[index].entry].router;
             router.on_load_failed(UpstreamId::from_raw(upstream as u32), given_up.entry.version);
         }
         self.retry(upstream, index, Progress::NotRun);
@@ -406,10 +418,8 @@
         let request = &mut self.requests[index];
         request.guard = None;
         request.tried = vec![UpstreamId::from_raw(upstream as u32)];
-        let verdict = match &mut self.entrances {
-            Some(entrances) => {
-                entrances[request.entrance].retries.retry(WorkKind::Generate, progress)
-            }
+        let verdict = match &mut self.entries {
+            Some(entries) => entries[request.entry].retries.retry(WorkKind::Generate, progress),
             None => Retry::Again,
         };
         match verdict {
@@ -423,14 +433,19 @@
         let request = &mut self.requests[index];
         self.measures.refusals += 1;
         self.measures.refusal_waits.push(self.now.since(arrival.at));
-        self.measures.crossed += u64::from(request.answered);
+        self.measures.wrong_answers += u64::from(request.answered);
         request.answered = true;
         request.guard = None;
         if let Some(since) = request.stalled.take() {
             self.measures.stall_waits.push(self.now.since(since));
         }
         if request.done == 0 {
-            Self::note_first(&mut self.measures, self.setting, &arrival, PATIENCE);
+            Self::record_first_token(
+                &mut self.measures,
+                self.setting,
+                &arrival,
+                MAX_FIRST_TOKEN_WAIT,
+            );
         }
     }
 
@@ -438,30 +453,30 @@
         let runner = &mut self.runners[upstream];
         runner.seq += 1;
         if let Some(report) =
-            runner.desk.report(runner.running.len(), self.setting.places, runner.seq)
+            runner.scheduler.report(runner.running.len(), self.setting.batch_size, runner.seq)
         {
-            self.at(self.now + REPORT_LAG, Event::Report { upstream, report });
+            self.schedule(self.now + REPORT_DELAY, Event::Report { upstream, report });
         }
-        self.at(self.now + REPORT, Event::Tick(upstream));
-        self.pump(upstream);
+        self.schedule(self.now + REPORT_INTERVAL, Event::Tick(upstream));
+        self.run_due(upstream);
     }
 
     fn on_report(&mut self, upstream: usize, report: &Report) {
         let upstream = UpstreamId::from_raw(upstream as u32);
-        for entrance in self.entrances.iter_mut().flatten() {
-            entrance.router.on_report(upstream, report);
+        for entry in self.entries.iter_mut().flatten() {
+            entry.router.on_report(upstream, report);
         }
     }
 
-    /// Counts places up to now, before their use changes.
-    fn count(&mut self, upstream: usize) {
+    /// Counts the use of batch places up to now; called before the use changes.
+    fn count_usage(&mut self, upstream: usize) {
         let runner = &mut self.runners[upstream];
         let span = self.now.since(runner.counted).as_micros();
         runner.counted = self.now;
         let running = runner.running.len();
-        if running > 0 || runner.desk.waiting() > 0 {
-            self.measures.used += span * running as u64;
-            self.measures.offered += span * self.setting.places as u64;
+        if running > 0 || runner.scheduler.waiting() > 0 {
+            self.measures.busy_micros += span * running as u64;
+            self.measures.offered_micros += span * self.setting.batch_size as u64;
         }
     }
 }
--- a/kingcupbay_bench/src/serve/store.rs
+++ b/kingcupbay_bench/src/serve/store.rs
@@ -1,38 +1,40 @@
-//! The weight store: a rate of loads, each slower when many are in flight.
+//! Model of the weight store: it limits the rate of loads, and each load is slower
+//! when many are in flight.
 
 use kingcupbay_core::time::{Instant, Span};
 
-/// Loads in flight over the fleet at which each still takes its least time.
-pub(crate) const FULL_SPEED: u32 = 8;
+/// Most loads in flight in the fleet at which each still takes [`MIN_LOAD_TIME`].
+pub(crate) const FULL_SPEED_LOADS: u32 = 8;
 
-/// Least time of a load.
-const LOAD: Span = Span::from_millis(250);
+/// Shortest time of a load.
+const MIN_LOAD_TIME: Span = Span::from_millis(250);
 
-/// The store as all runners share it.
+/// The weight store, shared by all runners.
 #[derive(Debug)]
 pub(crate) struct Store {
-    /// Time between two starts at its rate.
-    gap: Span,
-    /// When the next load could start if the burst were used up.
+    /// Interval between two starts at the rate of the store.
+    interval: Span,
+    /// When the next load can start once the burst is used up.
     next: Instant,
     pub(crate) in_flight: u32,
 }
 
 impl Store {
-    pub(crate) fn new(loads: f64) -> Store {
-        let gap = Span::from_micros((1e6 / loads) as u64);
-        Store { gap, next: Instant::default(), in_flight: 0 }
+    pub(crate) fn new(load_rate: f64) -> Store {
+        let interval = Span::from_micros((1e6 / load_rate) as u64);
+        Store { interval, next: Instant::default(), in_flight: 0 }
     }
 
-    /// Takes a load order and tells when the load ends. As many loads as run
-    /// at full speed may start at once, the others wait for the rate.
+    /// Starts a load and returns when it ends. [`FULL_SPEED_LOADS`] may start at
+    /// once, further ones wait for the rate.
     pub(crate) fn start(&mut self, now: Instant) -> Instant {
         self.in_flight += 1;
-        let burst = Span::from_micros(self.gap.as_micros() * u64::from(FULL_SPEED));
-        self.next = self.next.max(now - burst) + self.gap;
-        let slowness = self.in_flight.max(FULL_SPEED);
-        let took = LOAD.as_micros() * u64::from(slowness) / u64::from(FULL_SPEED);
-        self.next.max(now) + Span::from_micros(took)
+        let burst = Span::from_micros(self.interval.as_micros() * u64::from(FULL_SPEED_LOADS));
+        self.next = self.next.max(now - burst) + self.interval;
+        let concurrent = self.in_flight.max(FULL_SPEED_LOADS);
+        let duration =
+            MIN_LOAD_TIME.as_micros() * u64::from(concurrent) / u64::from(FULL_SPEED_LOADS);
+        self.next.max(now) + Span::from_micros(duration)
     }
 
     pub(crate) fn end(&mut self) {
--- a/kingcupbay_bench/src/share/chunk.rs
+++ b/kingcupbay_bench/src/share/chunk.rs
@@ -1,5 +1,5 @@
-//! Baseline: chunks drawn from a bucket in a row of the table. Conflicts of
-//! two draws are left out, in the baseline's favour.
+//! Baseline: entries draw chunks of tokens from a bucket in a row of the table.
+//! Conflicts between two draws are not modelled, which favours the baseline.
 
 use std::collections::BTreeSet;
 
@@ -12,18 +12,18 @@
 };
 
 use super::{
-    load::{ENTRIES, ORGANISATIONS, RATE, Request},
-    sim::{Event, KILLED, Outcome, Ticket, World},
+    load::{ENTRIES, ORGANISATIONS, Request, TOKENS_PER_SECOND},
+    sim::{Event, KILLED_ENTRY, Outcome, Simulation, Ticket},
 };
 
 /// Tokens drawn at once: half a second of an organisation's rate.
-const CHUNK: u64 = RATE / 2;
-/// A read and a conditional write.
-const DRAW: Span = Span::from_millis(10);
-/// Table operations of a draw.
-const OPERATIONS: u64 = 2;
+const CHUNK_TOKENS: u64 = TOKENS_PER_SECOND / 2;
+/// Time of a draw: a read and a conditional write.
+const DRAW_TIME: Span = Span::from_millis(10);
+/// Table operations per draw.
+const DRAW_OPERATIONS: u64 = 2;
 
-/// The rows, and what the entries drew and have not used.
+/// The rows, the tokens that entries have drawn but not used, and pending draws.
 #[derive(Debug)]
 pub(crate) struct Chunks {
     rows: Vec<Bucket>,
@@ -34,7 +34,7 @@
 impl Chunks {
     pub(crate) fn new(burst: u64) -> Chunks {
         let level = Amount::from_tokens(burst);
-        let full = Share { rate: RATE, capacity: level, level };
+        let full = Share { rate: TOKENS_PER_SECOND, capacity: level, level };
         Chunks {
             rows: vec![Bucket::new(Instant::default(), full); ORGANISATIONS],
             drawn: vec![vec![Amount::ZERO; ORGANISATIONS]; ENTRIES],
@@ -44,7 +44,7 @@
 
     pub(crate) fn admit(
         &mut self,
-        world: &mut World,
+        sim: &mut Simulation,
         since: Instant,
         request: &Request,
     ) -> Outcome {
@@ -54,41 +54,41 @@
             *drawn -= tokens;
             return Outcome::Granted(Ticket::Drawn);
         }
-        if !world.table_up {
+        if !sim.table_up {
             return Outcome::Refused("table down");
         }
-        if world.now.since(since) > DRAW {
+        if sim.now.since(since) > DRAW_TIME {
             return Outcome::Refused("row empty");
         }
         if self.drawing.insert((request.entry, request.organisation)) {
-            world.score.table += OPERATIONS * u64::from(world.score.counts(world.now));
-            world.after(DRAW, Event::Drawn(request.entry, request.organisation));
+            sim.score.table_operations += DRAW_OPERATIONS * u64::from(sim.score.counts(sim.now));
+            sim.schedule(DRAW_TIME, Event::Drawn(request.entry, request.organisation));
         }
         Outcome::Waiting
     }
 
     pub(crate) fn settle(&mut self, _now: Instant, request: &Request, _ticket: Ticket) {
-        let back = Amount::from_tokens(request.tokens - request.used);
-        self.drawn[request.entry][request.organisation] += back;
+        let unused = Amount::from_tokens(request.tokens - request.used);
+        self.drawn[request.entry][request.organisation] += unused;
     }
 
-    pub(crate) fn handle(&mut self, world: &mut World, event: Event) {
+    pub(crate) fn handle(&mut self, sim: &mut Simulation, event: Event) {
         let Event::Drawn(entry, organisation) = event else {
             return;
         };
         self.drawing.remove(&(entry, organisation));
         let row = &mut self.rows[organisation];
-        row.advance(world.now);
-        if world.table_up {
-            let level = row.share().level.min(Amount::from_tokens(CHUNK));
-            if row.reserve(world.now, level).is_ok() {
+        row.advance(sim.now);
+        if sim.table_up {
+            let level = row.share().level.min(Amount::from_tokens(CHUNK_TOKENS));
+            if row.reserve(sim.now, level).is_ok() {
                 self.drawn[entry][organisation] += level;
             }
         }
-        world.wake(entry, organisation);
+        sim.wake(entry, organisation);
     }
 
     pub(crate) fn kill(&mut self) {
-        self.drawn[KILLED].fill(Amount::ZERO);
+        self.drawn[KILLED_ENTRY].fill(Amount::ZERO);
     }
 }
--- a/kingcupbay_bench/src/share/load.rs
+++ b/kingcupbay_bench/src/share/load.rs
@@ -1,21 +1,21 @@
-//! Seeded callers.
+//! Draws the requests of seeded callers.
 
 use kingcupbay_core::{random::Random, time::Span};
 
-/// Entries of the fleet.
+/// Number of entries.
 pub(crate) const ENTRIES: usize = 4;
-/// Organisations of the fleet.
+/// Number of organisations.
 pub(crate) const ORGANISATIONS: usize = 5;
-/// Tokens a second of an organisation.
-pub(crate) const RATE: u64 = 2_000;
-/// How much more of its callers an organisation's first entry has.
-const SKEW: u64 = 10;
-/// Used tokens as part of the rate.
-const LOAD: f64 = 0.95;
-/// Prompt and permitted output of a request.
-const TOKENS: std::ops::Range<u64> = 100..900;
+/// Rate of an organisation.
+pub(crate) const TOKENS_PER_SECOND: u64 = 2_000;
+/// Ratio of an organisation's callers at its main entry to those at another one.
+const SKEW_FACTOR: u64 = 10;
+/// Used tokens as a fraction of the rate.
+const LOAD_FRACTION: f64 = 0.95;
+/// Range of the tokens of a request: its prompt and the permitted output.
+const REQUEST_TOKENS: std::ops::Range<u64> = 100..900;
 
-/// One request.
+/// A request of a caller.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Request {
     pub(crate) organisation: usize,
@@ -25,34 +25,36 @@
     pub(crate) length: Span,
 }
 
-/// Draws a request; `live` says which entries the balancer gives work to.
-pub(crate) fn request(g: &mut Random, organisation: usize, live: &[bool]) -> Request {
-    let tokens = TOKENS.start + g.below(TOKENS.end - TOKENS.start);
-    // The prompt is used whole, the permitted output in part: 60 % on average.
-    let used = tokens / 5 + g.below(tokens * 4 / 5 + 1);
-    let length = Span::from_millis(1_000 + g.below(7_000));
-    Request { organisation, entry: entry(g, organisation, live), tokens, used, length }
+/// Draws a request; `live` tells which entries the balancer sends requests to.
+pub(crate) fn draw_request(random: &mut Random, organisation: usize, live: &[bool]) -> Request {
+    let tokens = REQUEST_TOKENS.start + random.below(REQUEST_TOKENS.end - REQUEST_TOKENS.start);
+    // The prompt is used completely and the permitted output partly: 60 % of all
+    // tokens on average.
+    let used = tokens / 5 + random.below(tokens * 4 / 5 + 1);
+    let length = Span::from_millis(1_000 + random.below(7_000));
+    Request { organisation, entry: draw_entry(random, organisation, live), tokens, used, length }
 }
 
-/// Time until the next request of an organisation.
-pub(crate) fn pause(g: &mut Random) -> Span {
-    let mean = (TOKENS.start + TOKENS.end) as f64 / 2.0 * 0.6 / (RATE as f64 * LOAD);
-    Span::from_micros((g.exponential(mean) * 1e6) as u64 + 1)
+/// Draws the time until the next request of an organisation.
+pub(crate) fn draw_pause(random: &mut Random) -> Span {
+    let mean = (REQUEST_TOKENS.start + REQUEST_TOKENS.end) as f64 / 2.0 * 0.6
+        / (TOKENS_PER_SECOND as f64 * LOAD_FRACTION);
+    Span::from_micros((random.exponential(mean) * 1e6) as u64 + 1)
 }
 
-fn entry(g: &mut Random, organisation: usize, live: &[bool]) -> usize {
-    let weight = |entry: usize| if entry == organisation % ENTRIES { SKEW } else { 1 };
+fn draw_entry(random: &mut Random, organisation: usize, live: &[bool]) -> usize {
+    let weight = |entry: usize| if entry == organisation % ENTRIES { SKEW_FACTOR } else { 1 };
     let total: u64 = (0..ENTRIES).map(weight).sum();
-    let mut place = g.below(total);
+    let mut position = random.below(total);
     let mut chosen = 0;
     for entry in 0..ENTRIES {
-        if place < weight(entry) {
+        if position < weight(entry) {
             chosen = entry;
             break;
         }
-        place -= weight(entry);
+        position -= weight(entry);
     }
-    // The balancer spreads a dead entry's callers over the others.
+    // The balancer distributes a dead entry's callers over the others.
     let others: Vec<_> = (0..ENTRIES).filter(|&entry| live[entry]).collect();
-    if live[chosen] { chosen } else { others[g.below(others.len() as u64) as usize] }
+    if live[chosen] { chosen } else { others[random.below(others.len() as u64) as usize] }
 }
--- a/kingcupbay_bench/src/share/mod.rs
+++ b/kingcupbay_bench/src/share/mod.rs
@@ -1,8 +1,8 @@
 //! Rate shares against baselines, in simulated time.
 //!
-//! [`load`] draws the callers, [`sim`] runs them against a policy, and
-//! [`score`] compares what it did with the exact bucket. The policies are
-//! [`shared`], which is the core's, [`split`] and [`chunk`].
+//! [`load`] draws the requests, [`sim`] runs them against a policy, and [`score`]
+//! compares its decisions with an exact token bucket. The policies are [`shared`],
+//! which is the core's, and the baselines [`split`] and [`chunk`].
 
 mod chunk;
 mod load;
@@ -20,18 +20,28 @@
     split::Split,
 };
 
-/// Callers have settled in by then.
-const WARM: u64 = 60;
+/// Time before measuring, in which the load settles.
+const WARM_UP_SECONDS: u64 = 60;
 
 const SCENARIOS: [Scenario; 3] = [
-    Scenario { name: "skewed 10:1", counted: (WARM, WARM + 600), outage: None, kill: None },
+    Scenario {
+        name: "skewed 10:1",
+        measured: (WARM_UP_SECONDS, WARM_UP_SECONDS + 600),
+        outage: None,
+        kill: None,
+    },
     Scenario {
         name: "table out 10 min",
-        counted: (WARM, WARM + 720),
-        outage: Some((WARM + 60, WARM + 660)),
+        measured: (WARM_UP_SECONDS, WARM_UP_SECONDS + 720),
+        outage: Some((WARM_UP_SECONDS + 60, WARM_UP_SECONDS + 660)),
         kill: None,
     },
-    Scenario { name: "entry killed", counted: (WARM, WARM + 60), outage: None, kill: Some(WARM) },
+    Scenario {
+        name: "entry killed",
+        measured: (WARM_UP_SECONDS, WARM_UP_SECONDS + 60),
+        outage: None,
+        kill: Some(WARM_UP_SECONDS),
+    },
 ];
 
 /// Settings of the experiment.
@@ -41,15 +51,15 @@
     /// Runs of each scenario and policy.
     #[arg(long, default_value_t = 10)]
     seeds: u64,
-    /// Tokens at once of each organisation; its rate is 2,000 a second.
+    /// Burst in tokens of each organisation; its rate is 2,000 per second.
     #[arg(long, default_value_t = 60_000)]
     burst: u64,
 }
 
-/// A policy by name, and how a run makes it.
-type Make = (&'static str, fn(u64) -> Policy);
+/// Name of a policy and the function that creates it for a burst.
+type PolicyFactory = (&'static str, fn(u64) -> Policy);
 
-const POLICIES: [Make; 3] = [
+const POLICIES: [PolicyFactory; 3] = [
     ("conserved shares", |burst| Policy::Shared(Shared::new(burst))),
     ("equal split, lease", |burst| Policy::Split(Split::new(burst))),
     ("chunks from table", |burst| Policy::Chunks(Chunks::new(burst))),
@@ -61,7 +71,7 @@
         "{} entries, {} organisations, {} tokens/s, burst {}, 95 % of rate, {} seeds",
         load::ENTRIES,
         load::ORGANISATIONS,
-        load::RATE,
+        load::TOKENS_PER_SECOND,
         args.burst,
         args.seeds
     );
@@ -87,14 +97,14 @@
     println!(
         "| {scenario} | {policy} | {} | {} | {} | {wrongful} | {:.3} | {:.1} | {:.0} | {:.2} | {:.2} | {} | {} |",
         score.requests,
-        score.over,
+        score.over_tokens,
         score.refused,
         100.0 * wrongful as f64 / score.requests as f64,
         score.messages as f64 / seconds,
         score.bytes as f64 / seconds / load::ENTRIES as f64,
         score.asks as f64 / seconds,
-        score.table as f64 / seconds,
-        score.longest.as_millis(),
+        score.table_operations as f64 / seconds,
+        score.longest_wait.as_millis(),
         causes.join(", "),
     );
 }
--- a/kingcupbay_bench/src/share/score.rs
+++ b/kingcupbay_bench/src/share/score.rs
@@ -1,4 +1,4 @@
-//! What a policy did, against the exact bucket of each organisation.
+//! Measurements of a policy against the exact bucket of each organisation.
 
 use std::collections::BTreeMap;
 
@@ -10,47 +10,47 @@
     time::{Instant, Span},
 };
 
-use super::load::{ORGANISATIONS, RATE, Request};
+use super::load::{ORGANISATIONS, Request, TOKENS_PER_SECOND};
 
-/// Counts of one run. The exact buckets are charged with what the policy
-/// admitted, so a refusal while they could pay is the policy's own.
+/// Counts of one run. The exact buckets are charged with what the policy admitted,
+/// so a refusal while they hold enough tokens is an error of the policy.
 #[derive(Debug)]
 pub(crate) struct Score {
     exact: Vec<Bucket>,
-    /// Which counts are kept: requests that arrive in this span.
+    /// Start and end of the measurement; what happens outside is not counted.
     from: Instant,
     to: Instant,
     pub(crate) requests: u64,
-    /// Tokens admitted that the exact bucket did not have.
-    pub(crate) over: u64,
+    /// Admitted tokens that the exact bucket did not hold.
+    pub(crate) over_tokens: u64,
     pub(crate) refused: u64,
-    /// Refusals by cause while the exact bucket could pay.
+    /// Refusals by cause while the exact bucket held enough tokens.
     pub(crate) wrongful: BTreeMap<&'static str, u64>,
-    pub(crate) longest: Span,
+    pub(crate) longest_wait: Span,
     pub(crate) messages: u64,
-    /// Bytes of the messages, without HTTP's.
+    /// Bytes of the message bodies, without HTTP heads.
     pub(crate) bytes: u64,
     pub(crate) asks: u64,
-    pub(crate) table: u64,
+    pub(crate) table_operations: u64,
 }
 
 impl Score {
     pub(crate) fn new(burst: u64, from: Instant, to: Instant) -> Score {
         let level = Amount::from_tokens(burst);
-        let full = Share { rate: RATE, capacity: level, level };
+        let full = Share { rate: TOKENS_PER_SECOND, capacity: level, level };
         Score {
             exact: vec![Bucket::new(Instant::default(), full); ORGANISATIONS],
             from,
             to,
             requests: 0,
-            over: 0,
+            over_tokens: 0,
             refused: 0,
             wrongful: BTreeMap::new(),
-            longest: Span::ZERO,
+            longest_wait: Span::ZERO,
             messages: 0,
             bytes: 0,
             asks: 0,
-            table: 0,
+            table_operations: 0,
         }
     }
 
@@ -66,7 +66,8 @@
         self.requests += u64::from(self.counts(now));
     }
 
-    /// An admission of a request that arrived at `since`; the key settles it.
+    /// Records the admission of a request that arrived at `since`. Returns the
+    /// reservation for [`Score::settled`].
     pub(crate) fn admitted(
         &mut self,
         now: Instant,
@@ -74,16 +75,16 @@
         request: &Request,
     ) -> Option<ReservationId> {
         if self.counts(now) {
-            self.longest = self.longest.max(now.since(since));
+            self.longest_wait = self.longest_wait.max(now.since(since));
         }
         let exact = &mut self.exact[request.organisation];
         match exact.reserve(now, Amount::from_tokens(request.tokens)) {
             Ok(id) => Some(id),
             Err(shortage) => {
-                // Charged as far as it goes; what is missing is over the bound.
+                // The rest of the bucket is charged, the shortage is over the limit.
                 let level = exact.share_at(now).level;
                 let rest = exact.reserve(now, level).ok();
-                self.over += shortage.missing.as_micros().div_ceil(1_000_000);
+                self.over_tokens += shortage.missing.as_micros().div_ceil(1_000_000);
                 rest
             }
         }
@@ -109,13 +110,13 @@
 
     pub(crate) fn add(&mut self, other: &Score) {
         self.requests += other.requests;
-        self.over += other.over;
+        self.over_tokens += other.over_tokens;
         self.refused += other.refused;
         self.messages += other.messages;
         self.bytes += other.bytes;
         self.asks += other.asks;
-        self.table += other.table;
-        self.longest = self.longest.max(other.longest);
+        self.table_operations += other.table_operations;
+        self.longest_wait = self.longest_wait.max(other.longest_wait);
         for (cause, count) in &other.wrongful {
             *self.wrongful.entry(cause).or_default() += count;
         }
--- a/kingcupbay_bench/src/share/shared.rs
+++ b/kingcupbay_bench/src/share/shared.rs
@@ -1,4 +1,4 @@
-//! Conserved shares: the decisions of the core, as the daemon runs them.
+//! Conserved shares: the core's policy, as the daemon runs it.
 
 use std::collections::BTreeSet;
 
@@ -14,18 +14,18 @@
 };
 
 use super::{
-    load::{ENTRIES, ORGANISATIONS, RATE, Request},
-    sim::{Event, KILLED, Outcome, Ticket, World},
+    load::{ENTRIES, ORGANISATIONS, Request, TOKENS_PER_SECOND},
+    sim::{Event, KILLED_ENTRY, Outcome, Simulation, Ticket},
 };
 
 /// Delay of a message between entries.
-const DELAY: Span = Span::from_millis(1);
-/// Period of the entries' ticks.
-const TICK: Span = Span::from_millis(500);
-/// Holder of the successor of the killed entry.
-const SUCCESSOR: Holder = Holder(99);
+const MESSAGE_DELAY: Span = Span::from_millis(1);
+/// Interval between two ticks of an entry.
+const TICK_PERIOD: Span = Span::from_millis(500);
+/// Holder id of the entry that replaces the killed one.
+const SUCCESSOR_HOLDER: Holder = Holder(99);
 
-/// The entries; a dead one is none.
+/// The entries' shares; `None` for a dead entry.
 #[derive(Debug)]
 pub(crate) struct Shared {
     entries: Vec<Option<Shares>>,
@@ -35,7 +35,7 @@
 }
 
 impl Shared {
-    /// A fleet that has just made its organisations.
+    /// Creates the entries, without any organisation yet.
     pub(crate) fn new(burst: u64) -> Shared {
         let holders: Vec<_> = (1..=ENTRIES as u64).map(Holder).collect();
         let new = |&holder: &Holder| Some(Shares::new(holder, Settings::default()));
@@ -43,18 +43,18 @@
         Shared { entries, holders, reports: Vec::new(), burst }
     }
 
-    pub(crate) fn start(&mut self, world: &mut World) {
-        self.enter(world, 1, 0);
-        self.enter(world, 2, ORGANISATIONS);
+    pub(crate) fn start(&mut self, sim: &mut Simulation) {
+        self.begin_epoch(sim, 1, 0);
+        self.begin_epoch(sim, 2, ORGANISATIONS);
         for entry in 0..ENTRIES {
-            let offset = Span::from_micros(TICK.as_micros() * entry as u64 / ENTRIES as u64);
-            world.after(offset, Event::Tick(entry));
+            let offset = Span::from_micros(TICK_PERIOD.as_micros() * entry as u64 / ENTRIES as u64);
+            sim.schedule(offset, Event::Tick(entry));
         }
     }
 
     pub(crate) fn admit(
         &mut self,
-        world: &mut World,
+        sim: &mut Simulation,
         id: u64,
         since: Instant,
         request: &Request,
@@ -63,16 +63,16 @@
             return Outcome::Refused("entry dead");
         };
         let organisation = key(request.organisation);
-        match shares.admit(world.now, since, organisation, request.tokens, true) {
+        match shares.admit(sim.now, since, organisation, request.tokens, true) {
             Verdict::Granted(reservation) => {
                 Outcome::Granted(Ticket::Shared(self.holders[request.entry], reservation))
             }
             Verdict::Pending { actions, until } => {
-                self.carry_out(world, request.entry, actions);
-                world.queue.push(until, Event::Wake(id));
+                self.execute(sim, request.entry, actions);
+                sim.queue.push(until, Event::Wake(id));
                 Outcome::Waiting
             }
-            Verdict::Refused { .. } if world.now == since => Outcome::Refused("known empty"),
+            Verdict::Refused { .. } if sim.now == since => Outcome::Refused("known empty"),
             Verdict::Refused { .. } => Outcome::Refused("asked in vain"),
         }
     }
@@ -82,7 +82,7 @@
             return;
         };
         let entry = request.entry;
-        // A successor does not know its predecessor's requests.
+        // A replacement entry does not know the requests of the killed one.
         if let Some(shares) = &mut self.entries[entry]
             && self.holders[entry] == holder
         {
@@ -90,96 +90,96 @@
         }
     }
 
-    pub(crate) fn handle(&mut self, world: &mut World, event: Event) {
+    pub(crate) fn handle(&mut self, sim: &mut Simulation, event: Event) {
         match event {
             Event::Tick(entry) => {
-                world.after(TICK, Event::Tick(entry));
-                self.tick(world, entry);
+                sim.schedule(TICK_PERIOD, Event::Tick(entry));
+                self.tick(sim, entry);
             }
             Event::Message(envelope) => {
                 let to = self.holders.iter().position(|&holder| holder == envelope.to);
                 if let Some(entry) = to
                     && let Some(shares) = &mut self.entries[entry]
                 {
-                    let actions = shares.on_message(world.now, &envelope);
-                    self.carry_out(world, entry, actions);
+                    let actions = shares.on_message(sim.now, &envelope);
+                    self.execute(sim, entry, actions);
                 }
             }
             _ => {}
         }
     }
 
-    pub(crate) fn kill(&mut self, _world: &mut World) {
-        self.entries[KILLED] = None;
+    pub(crate) fn kill(&mut self, _sim: &mut Simulation) {
+        self.entries[KILLED_ENTRY] = None;
     }
 
-    /// The configuration that has the successor in the place of the dead
-    /// entry is held by a majority.
-    pub(crate) fn replace(&mut self, world: &mut World) {
-        self.holders[KILLED] = SUCCESSOR;
-        self.entries[KILLED] = Some(Shares::new(SUCCESSOR, Settings::default()));
-        self.enter(world, 3, ORGANISATIONS);
+    /// Starts the replacement entry, when a majority has the configuration that
+    /// contains it instead of the dead one.
+    pub(crate) fn replace(&mut self, sim: &mut Simulation) {
+        self.holders[KILLED_ENTRY] = SUCCESSOR_HOLDER;
+        self.entries[KILLED_ENTRY] = Some(Shares::new(SUCCESSOR_HOLDER, Settings::default()));
+        self.begin_epoch(sim, 3, ORGANISATIONS);
     }
 
-    fn enter(&mut self, world: &mut World, epoch: u64, organisations: usize) {
+    fn begin_epoch(&mut self, sim: &mut Simulation, epoch: u64, organisations: usize) {
         self.reports.clear();
-        let total = Total { rate: RATE, burst: self.burst };
+        let total = Total { rate: TOKENS_PER_SECOND, burst: self.burst };
         let totals = (0..organisations).map(|organisation| (key(organisation), total));
         let holders: BTreeSet<_> = self.holders.iter().copied().collect();
         let last_removal = Number(if epoch == 3 { 3 } else { 0 });
         let plan = Plan { epoch: Number(epoch), holders, last_removal, totals: totals.collect() };
         for entry in 0..ENTRIES {
             let shares = self.entries[entry].as_mut().expect("all live when an epoch begins");
-            let mut actions = shares.on_plan(world.now, plan.clone());
-            actions.extend(shares.on_in_force(world.now, plan.epoch));
-            self.carry_out(world, entry, actions);
+            let mut actions = shares.on_plan(sim.now, plan.clone());
+            actions.extend(shares.on_in_force(sim.now, plan.epoch));
+            self.execute(sim, entry, actions);
         }
         for entry in 0..ENTRIES {
-            self.read_reports(world, entry);
+            self.read_reports(sim, entry);
         }
     }
 
-    fn tick(&mut self, world: &mut World, entry: usize) {
+    fn tick(&mut self, sim: &mut Simulation, entry: usize) {
         if let Some(shares) = &mut self.entries[entry] {
-            let actions = shares.on_tick(world.now);
-            self.carry_out(world, entry, actions);
-            self.read_reports(world, entry);
+            let actions = shares.on_tick(sim.now);
+            self.execute(sim, entry, actions);
+            self.read_reports(sim, entry);
         }
     }
 
-    fn read_reports(&mut self, world: &mut World, entry: usize) {
+    fn read_reports(&mut self, sim: &mut Simulation, entry: usize) {
         let Some(shares) = &mut self.entries[entry] else {
             return;
         };
-        if world.table_up && shares.missing_reports().next().is_some() {
-            world.score.table += u64::from(world.score.counts(world.now));
-            let actions = shares.on_reports(world.now, &self.reports);
-            self.carry_out(world, entry, actions);
+        if sim.table_up && shares.missing_reports().next().is_some() {
+            sim.score.table_operations += u64::from(sim.score.counts(sim.now));
+            let actions = shares.on_reports(sim.now, &self.reports);
+            self.execute(sim, entry, actions);
         }
     }
 
-    fn carry_out(&mut self, world: &mut World, entry: usize, actions: Vec<Action>) {
+    fn execute(&mut self, sim: &mut Simulation, entry: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(envelope) => send(world, envelope),
+                Action::Send(envelope) => send(sim, envelope),
                 Action::Report(report) => {
-                    world.score.table += u64::from(world.score.counts(world.now));
+                    sim.score.table_operations += u64::from(sim.score.counts(sim.now));
                     self.reports.push(report);
                 }
-                Action::Retry(organisation) => world.wake(entry, organisation.raw() as usize),
+                Action::Retry(organisation) => sim.wake(entry, organisation.raw() as usize),
             }
         }
     }
 }
 
-fn send(world: &mut World, envelope: Envelope) {
-    if world.score.counts(world.now) {
-        world.score.messages += 1;
+fn send(sim: &mut Simulation, envelope: Envelope) {
+    if sim.score.counts(sim.now) {
+        sim.score.messages += 1;
         let bytes = rmp_serde::to_vec(&envelope).expect("envelopes serialise");
-        world.score.bytes += bytes.len() as u64;
-        world.score.asks += u64::from(matches!(envelope.message, Message::Ask(_)));
+        sim.score.bytes += bytes.len() as u64;
+        sim.score.asks += u64::from(matches!(envelope.message, Message::Ask(_)));
     }
-    world.after(DELAY, Event::Message(envelope));
+    sim.schedule(MESSAGE_DELAY, Event::Message(envelope));
 }
 
 fn key(organisation: usize) -> OrganisationId {
--- a/kingcupbay_bench/src/share/sim.rs
+++ b/kingcupbay_bench/src/share/sim.rs
@@ -1,4 +1,4 @@
-//! One run: callers, one policy, one scenario.
+//! Simulates one run of callers with a policy in a scenario.
 
 use std::collections::BTreeMap;
 
@@ -17,24 +17,24 @@
     split::Split,
 };
 
-/// The entry that is killed: the one with most callers of two organisations.
-pub(crate) const KILLED: usize = 0;
-/// How long until the successor of a killed entry is in force.
-const RESTART: Span = Span::from_secs(3);
+/// Entry that is killed: the main entry of two organisations.
+pub(crate) const KILLED_ENTRY: usize = 0;
+/// Time until the replacement of a killed entry is in service.
+const REPLACEMENT_TIME: Span = Span::from_secs(3);
 
-/// What goes wrong.
+/// Failures during a run; times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Scenario {
     pub(crate) name: &'static str,
-    /// Counts are kept from here to there.
-    pub(crate) counted: (u64, u64),
-    /// The table is down from here to there.
+    /// Start and end of the measurement.
+    pub(crate) measured: (u64, u64),
+    /// Start and end of an outage of the table.
     pub(crate) outage: Option<(u64, u64)>,
-    /// An entry dies here.
+    /// When [`KILLED_ENTRY`] is killed.
     pub(crate) kill: Option<u64>,
 }
 
-/// How the fleet divides rates.
+/// Policy by which the entries share rates.
 #[derive(Debug)]
 pub(crate) enum Policy {
     Shared(Shared),
@@ -42,23 +42,23 @@
     Chunks(Chunks),
 }
 
-/// Events of the policies.
+/// Events of a run.
 #[derive(Debug)]
 pub(crate) enum Event {
     Arrive(usize),
     End(u64),
     Kill,
-    /// The successor is in force.
+    /// The replacement of the killed entry is in service.
     Replace,
     Tick(usize),
     Message(Envelope),
-    /// A waiting request is looked at again.
+    /// A waiting request is decided again.
     Wake(u64),
-    /// The table answers an entry about an organisation.
+    /// The table answers an entry's draw for an organisation.
     Drawn(usize, usize),
 }
 
-/// What is decided about a request at once.
+/// Decision about a request.
 #[derive(Debug)]
 pub(crate) enum Outcome {
     Granted(Ticket),
@@ -66,11 +66,11 @@
     Waiting,
 }
 
-/// What settles a request.
+/// Identifies an admitted request when it is settled.
 #[derive(Debug)]
 pub(crate) enum Ticket {
     Shared(Holder, Reservation),
-    /// When it was admitted, and the key.
+    /// When the request was admitted, and its reservation.
     Bucket(Instant, ReservationId),
     Drawn,
 }
@@ -82,32 +82,32 @@
     exact: Option<ReservationId>,
 }
 
-/// The surroundings of a policy.
+/// State of a run outside the policy.
 #[derive(Debug)]
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(crate) now: Instant,
     pub(crate) queue: Queue<Event>,
     pub(crate) score: Score,
     pub(crate) table_up: bool,
-    /// Entries that the balancer gives work to.
+    /// Whether the balancer sends requests to each entry.
     pub(crate) live: Vec<bool>,
-    /// Requests without a decision, and when they arrived.
+    /// Requests without a decision, with their arrival times.
     pub(crate) waiting: BTreeMap<u64, (Instant, Request)>,
     running: BTreeMap<u64, Running>,
     random: Random,
     requests: u64,
 }
 
-fn at(secs: u64) -> Instant {
+fn at_second(secs: u64) -> Instant {
     Instant::default() + Span::from_secs(secs)
 }
 
 /// Runs `policy` through `scenario`.
 pub(crate) fn run(scenario: Scenario, burst: u64, seed: u64, mut policy: Policy) -> Score {
-    let mut world = World {
+    let mut sim = Simulation {
         now: Instant::default(),
         queue: Queue::new(),
-        score: Score::new(burst, at(scenario.counted.0), at(scenario.counted.1)),
+        score: Score::new(burst, at_second(scenario.measured.0), at_second(scenario.measured.1)),
         table_up: true,
         live: vec![true; ENTRIES],
         waiting: BTreeMap::new(),
@@ -116,36 +116,37 @@
         requests: 0,
     };
     for organisation in 0..ORGANISATIONS {
-        world.queue.push(at(1), Event::Arrive(organisation));
+        sim.queue.push(at_second(1), Event::Arrive(organisation));
     }
     if let Some(kill) = scenario.kill {
-        world.queue.push(at(kill), Event::Kill);
-        world.queue.push(at(kill) + RESTART, Event::Replace);
+        sim.queue.push(at_second(kill), Event::Kill);
+        sim.queue.push(at_second(kill) + REPLACEMENT_TIME, Event::Replace);
     }
-    policy.start(&mut world);
-    while let Some((now, event)) = world.queue.pop() {
-        if now >= at(scenario.counted.1) {
+    policy.start(&mut sim);
+    while let Some((now, event)) = sim.queue.pop() {
+        if now >= at_second(scenario.measured.1) {
             break;
         }
-        world.now = now;
-        world.table_up =
-            scenario.outage.is_none_or(|(from, to)| !(at(from)..at(to)).contains(&now));
-        world.step(event, &mut policy);
+        sim.now = now;
+        sim.table_up = scenario
+            .outage
+            .is_none_or(|(from, to)| !(at_second(from)..at_second(to)).contains(&now));
+        sim.step(event, &mut policy);
     }
-    world.score
+    sim.score
 }
 
-impl World {
-    pub(crate) fn after(&mut self, span: Span, event: Event) {
+impl Simulation {
+    pub(crate) fn schedule(&mut self, span: Span, event: Event) {
         self.queue.push(self.now + span, event);
     }
 
     fn step(&mut self, event: Event, policy: &mut Policy) {
         match event {
             Event::Arrive(organisation) => {
-                let pause = load::pause(&mut self.random);
-                self.after(pause, Event::Arrive(organisation));
-                let request = load::request(&mut self.random, organisation, &self.live);
+                let pause = load::draw_pause(&mut self.random);
+                self.schedule(pause, Event::Arrive(organisation));
+                let request = load::draw_request(&mut self.random, organisation, &self.live);
                 self.requests += 1;
                 self.score.arrived(self.now);
                 self.waiting.insert(self.requests, (self.now, request));
@@ -158,13 +159,13 @@
             }
             Event::Wake(id) => self.decide(id, policy),
             Event::Kill => {
-                self.live[KILLED] = false;
+                self.live[KILLED_ENTRY] = false;
                 policy.kill(self);
-                // What waits at a dead entry is not answered by it.
-                self.waiting.retain(|_, (_, request)| request.entry != KILLED);
+                // A dead entry does not answer the requests that wait at it.
+                self.waiting.retain(|_, (_, request)| request.entry != KILLED_ENTRY);
             }
             Event::Replace => {
-                self.live[KILLED] = true;
+                self.live[KILLED_ENTRY] = true;
                 policy.replace(self);
             }
             event => {
@@ -184,40 +185,46 @@
             Outcome::Granted(ticket) => {
                 let exact = self.score.admitted(self.now, since, &request);
                 self.running.insert(id, Running { request, ticket, exact });
-                self.after(request.length, Event::End(id));
+                self.schedule(request.length, Event::End(id));
             }
         }
         self.waiting.remove(&id);
     }
 
-    /// Looks again at what waits at an entry for an organisation.
+    /// Decides again on the requests that wait at an entry for an organisation.
     pub(crate) fn wake(&mut self, entry: usize, organisation: usize) {
         let of = |request: &Request| request.entry == entry && request.organisation == organisation;
         let waiting = self.waiting.iter().filter(|(_, (_, request))| of(request));
         let ids: Vec<_> = waiting.map(|(&id, _)| id).collect();
-        ids.into_iter().for_each(|id| self.after(Span::ZERO, Event::Wake(id)));
+        ids.into_iter().for_each(|id| self.schedule(Span::ZERO, Event::Wake(id)));
     }
 
-    /// Whether the scenario's killed entry is the one asked for, and dead.
+    /// Whether an entry is dead.
     pub(crate) fn is_dead(&self, entry: usize) -> bool {
         !self.live[entry]
     }
 }
 
 impl Policy {
-    fn start(&mut self, world: &mut World) {
+    fn start(&mut self, sim: &mut Simulation) {
         match self {
-            Policy::Shared(policy) => policy.start(world),
-            Policy::Split(policy) => policy.start(world),
+            Policy::Shared(policy) => policy.start(sim),
+            Policy::Split(policy) => policy.start(sim),
             Policy::Chunks(_) => {}
         }
     }
 
-    fn admit(&mut self, world: &mut World, id: u64, since: Instant, request: &Request) -> Outcome {
+    fn admit(
+        &mut self,
+        sim: &mut Simulation,
+        id: u64,
+        since: Instant,
+        request: &Request,
+    ) -> Outcome {
         match self {
-            Policy::Shared(policy) => policy.admit(world, id, since, request),
-            Policy::Split(policy) => policy.admit(world, request),
-            Policy::Chunks(policy) => policy.admit(world, since, request),
+            Policy::Shared(policy) => policy.admit(sim, id, since, request),
+            Policy::Split(policy) => policy.admit(sim, request),
+            Policy::Chunks(policy) => policy.admit(sim, since, request),
         }
     }
 
@@ -229,26 +236,26 @@
         }
     }
 
-    fn handle(&mut self, world: &mut World, event: Event) {
+    fn handle(&mut self, sim: &mut Simulation, event: Event) {
         match self {
-            Policy::Shared(policy) => policy.handle(world, event),
-            Policy::Split(policy) => policy.handle(world, event),
-            Policy::Chunks(policy) => policy.handle(world, event),
+            Policy::Shared(policy) => policy.handle(sim, event),
+            Policy::Split(policy) => policy.handle(sim, event),
+            Policy::Chunks(policy) => policy.handle(sim, event),
         }
     }
 
-    fn kill(&mut self, world: &mut World) {
+    fn kill(&mut self, sim: &mut Simulation) {
         match self {
-            Policy::Shared(policy) => policy.kill(world),
+            Policy::Shared(policy) => policy.kill(sim),
             Policy::Split(_) => {}
             Policy::Chunks(policy) => policy.kill(),
         }
     }
 
-    fn replace(&mut self, world: &mut World) {
+    fn replace(&mut self, sim: &mut Simulation) {
         match self {
-            Policy::Shared(policy) => policy.replace(world),
-            Policy::Split(policy) => policy.replace(world.now),
+            Policy::Shared(policy) => policy.replace(sim),
+            Policy::Split(policy) => policy.replace(sim.now),
             Policy::Chunks(_) => {}
         }
     }
--- a/kingcupbay_bench/src/share/split.rs
+++ b/kingcupbay_bench/src/share/split.rs
@@ -1,5 +1,5 @@
-//! Baseline: an equal part at each entry, under a lease from the table that
-//! closes when it lapses.
+//! Baseline: an equal share for each entry, under a lease from the table. An entry
+//! refuses requests when its lease has expired.
 
 use kingcupbay_core::{
     share::{
@@ -10,30 +10,30 @@
 };
 
 use super::{
-    load::{ENTRIES, ORGANISATIONS, RATE, Request},
-    sim::{Event, KILLED, Outcome, Ticket, World},
+    load::{ENTRIES, ORGANISATIONS, Request, TOKENS_PER_SECOND},
+    sim::{Event, KILLED_ENTRY, Outcome, Simulation, Ticket},
 };
 
-/// How long a lease lasts.
-const LEASE: Span = Span::from_secs(5);
-/// How often it is renewed.
-const RENEWAL: Span = Span::from_secs(2);
+/// Duration of a lease.
+const LEASE_DURATION: Span = Span::from_secs(5);
+/// Interval between two renewals of a lease.
+const RENEWAL_PERIOD: Span = Span::from_secs(2);
 
 /// The entries' buckets and leases.
 #[derive(Debug)]
 pub(crate) struct Split {
     buckets: Vec<Vec<Bucket>>,
-    /// When each entry's lease begins and ends.
+    /// Start and end of each entry's lease.
     leases: Vec<(Instant, Instant)>,
-    /// Since when an entry's requests are its own and not a predecessor's.
-    since: Vec<Instant>,
+    /// When each entry was started; older requests belong to its predecessor.
+    started: Vec<Instant>,
     burst: u64,
 }
 
 fn buckets(now: Instant, burst: u64, level: u64) -> Vec<Bucket> {
     let capacity = Amount::from_tokens(burst / ENTRIES as u64);
     let level = Amount::from_tokens(level);
-    let share = Share { rate: RATE / ENTRIES as u64, capacity, level };
+    let share = Share { rate: TOKENS_PER_SECOND / ENTRIES as u64, capacity, level };
     vec![Bucket::new(now, share); ORGANISATIONS]
 }
 
@@ -42,52 +42,53 @@
         let start = Instant::default();
         Split {
             buckets: vec![buckets(start, burst, burst / ENTRIES as u64); ENTRIES],
-            leases: vec![(start, start + LEASE); ENTRIES],
-            since: vec![start; ENTRIES],
+            leases: vec![(start, start + LEASE_DURATION); ENTRIES],
+            started: vec![start; ENTRIES],
             burst,
         }
     }
 
-    pub(crate) fn start(&mut self, world: &mut World) {
-        (0..ENTRIES).for_each(|entry| world.after(RENEWAL, Event::Tick(entry)));
+    pub(crate) fn start(&mut self, sim: &mut Simulation) {
+        (0..ENTRIES).for_each(|entry| sim.schedule(RENEWAL_PERIOD, Event::Tick(entry)));
     }
 
-    pub(crate) fn admit(&mut self, world: &mut World, request: &Request) -> Outcome {
+    pub(crate) fn admit(&mut self, sim: &mut Simulation, request: &Request) -> Outcome {
         let (begin, end) = self.leases[request.entry];
-        if !(begin..end).contains(&world.now) {
+        if !(begin..end).contains(&sim.now) {
             return Outcome::Refused("no lease");
         }
         let bucket = &mut self.buckets[request.entry][request.organisation];
-        match bucket.reserve(world.now, Amount::from_tokens(request.tokens)) {
-            Ok(id) => Outcome::Granted(Ticket::Bucket(world.now, id)),
+        match bucket.reserve(sim.now, Amount::from_tokens(request.tokens)) {
+            Ok(id) => Outcome::Granted(Ticket::Bucket(sim.now, id)),
             Err(_) => Outcome::Refused("part empty"),
         }
     }
 
     pub(crate) fn settle(&mut self, now: Instant, request: &Request, ticket: Ticket) {
         if let Ticket::Bucket(admitted, id) = ticket
-            && admitted >= self.since[request.entry]
+            && admitted >= self.started[request.entry]
         {
             let bucket = &mut self.buckets[request.entry][request.organisation];
             bucket.settle(now, id, Amount::from_tokens(request.used));
         }
     }
 
-    pub(crate) fn handle(&mut self, world: &mut World, event: Event) {
+    pub(crate) fn handle(&mut self, sim: &mut Simulation, event: Event) {
         if let Event::Tick(entry) = event {
-            world.after(RENEWAL, Event::Tick(entry));
-            if world.table_up && !world.is_dead(entry) {
-                world.score.table += u64::from(world.score.counts(world.now));
-                self.leases[entry].1 = world.now + LEASE;
+            sim.schedule(RENEWAL_PERIOD, Event::Tick(entry));
+            if sim.table_up && !sim.is_dead(entry) {
+                sim.score.table_operations += u64::from(sim.score.counts(sim.now));
+                self.leases[entry].1 = sim.now + LEASE_DURATION;
             }
         }
     }
 
-    /// The successor waits for the old lease and starts empty.
+    /// Starts the replacement entry, which waits for the end of the old lease and
+    /// begins with empty buckets.
     pub(crate) fn replace(&mut self, now: Instant) {
-        let begin = now.max(self.leases[KILLED].1);
-        self.leases[KILLED] = (begin, begin + LEASE);
-        self.buckets[KILLED] = buckets(begin, self.burst, 0);
-        self.since[KILLED] = now;
+        let begin = now.max(self.leases[KILLED_ENTRY].1);
+        self.leases[KILLED_ENTRY] = (begin, begin + LEASE_DURATION);
+        self.buckets[KILLED_ENTRY] = buckets(begin, self.burst, 0);
+        self.started[KILLED_ENTRY] = now;
     }
 }
--- a/kingcupbay_bench/tests/capacity.rs
+++ b/kingcupbay_bench/tests/capacity.rs
@@ -1,12 +1,11 @@
-//! The page of capacity against the command that prints its tables.
+//! Compares the capacity page with the command that prints its tables.
 
 #![allow(clippy::unwrap_used)]
 
 use std::{fs, path::Path, process::Command};
 
-/// A reader of docs/CAPACITY.md looks for a figure that the command prints
-/// under another name, or finds one that no command prints any more. A row was
-/// renamed, added or dropped on one side only.
+/// Guards against rows that were renamed, added or removed only in docs/CAPACITY.md
+/// or only in the command: a reader would not find a figure, or find an obsolete one.
 #[test]
 fn the_page_holds_every_row_that_the_command_prints() {
     let bench = env!("CARGO_BIN_EXE_kingcupbay_bench");
@@ -21,7 +20,7 @@
     let (_, measured) = page.split_once("\n## Measured slopes\n").unwrap();
     let measured = measured.split("\n## ").next().unwrap();
     let row = |line: &str| Some(line.strip_prefix("| ")?.split_once(" | ")?.0.to_owned());
-    // The head and the line under it are not rows.
+    // The table head and the separator below it are not rows.
     let head = |line: &&str| line.contains("| residual |") || line.starts_with("| ---");
     let held: Vec<String> = measured.lines().filter(|line| !head(line)).filter_map(row).collect();
 
