--- a/kingcupbay/src/declaration.rs
+++ b/kingcupbay/src/declaration.rs
@@ -115,7 +115,7 @@
     match config.patched(&patch) {
         Ok(_) => Ok(patch.changes),
         Err(PatchError::Refused { index, refusal }) => {
-            let place = declared.place(&patch.changes[index]).cloned();
+            let place = declared.location(&patch.changes[index]).cloned();
             Err(Error::Refused { place, refusal })
         }
         Err(error) => Err(error.into()),
--- a/kingcupbay/src/session.rs
+++ b/kingcupbay/src/session.rs
@@ -5,7 +5,7 @@
 use kingcupbay_core::{
     config::{change::Change, patch::Patch},
     id::{Number, RequestId},
-    wire::admin::Taken,
+    wire::admin::PatchStored,
 };
 use serde::Serialize;
 
@@ -66,7 +66,7 @@
         &self,
         against: Against,
         change: Change,
-    ) -> Result<Taken, Error> {
+    ) -> Result<PatchStored, Error> {
         let number = match against.against {
             Some(number) => Number(number),
             None => self.client.read_config().await?.number,
@@ -75,7 +75,7 @@
     }
 
     /// Formats the result of a patch that was taken.
-    pub(crate) fn format_taken(&self, taken: Taken) -> String {
+    pub(crate) fn format_taken(&self, taken: PatchStored) -> String {
         match self.json {
             true => output::to_json(&taken),
             false if taken.acknowledged => format!("number {} is in force", taken.number),
--- a/kingcupbay_core/src/admission/estimate.rs
+++ b/kingcupbay_core/src/admission/estimate.rs
@@ -3,7 +3,7 @@
 use crate::{
     deployment::model::AdapterName,
     time::{Instant, Span},
-    wire::sidecar::{Refusal, Want},
+    wire::sidecar::{PermitRequest, Refusal},
 };
 
 use super::{Admission, prefill::PrefillLimit};
@@ -14,7 +14,7 @@
 
 impl Admission {
     /// Returns why `request` cannot be accepted now; `None` if it can.
-    pub(super) fn refusal_reason(&self, request: &Want) -> Option<Refusal> {
+    pub(super) fn refusal_reason(&self, request: &PermitRequest) -> Option<Refusal> {
         let Some(report) = &self.report else { return Some(Refusal::Unready) };
         if report.leaving {
             return Some(Refusal::Leaving);
@@ -35,8 +35,9 @@
     }
 
     /// Returns the expected time until `request` gets a permit.
-    pub(super) fn estimate_wait(&self, now: Instant, request: &Want) -> Span {
-        let ahead = self.running.unread_tokens() + self.queue.prompt_tokens_before(request.rank);
+    pub(super) fn estimate_wait(&self, now: Instant, request: &PermitRequest) -> Span {
+        let ahead =
+            self.running.unread_tokens() + self.queue.prompt_tokens_before(request.priority);
         let prefill = self.prefill_wait(ahead.saturating_sub(self.prefill_limit().burst_tokens()));
         let full = self.running.len() + self.queue.len() >= self.spec.slots.max(1) as usize;
         let slot = match full {
--- a/kingcupbay_core/tests/load_report.rs
+++ b/kingcupbay_core/tests/load_report.rs
@@ -7,17 +7,23 @@
     deployment::model::{AdapterName, ResidentModel},
     placement::Placement,
     time::{Instant, Span},
-    wire::sidecar::Pressure,
+    wire::sidecar::EngineLoadReport,
 };
 
 fn at(millis: u64) -> Instant {
     Instant::from_micros(1_000_000 + millis * 1_000)
 }
 
-fn load_report(running: u32, adapters: &[(&str, u32)]) -> Pressure {
+fn load_report(running: u32, adapters: &[(&str, u32)]) -> EngineLoadReport {
     let adapters = adapters.iter().map(|&(name, version)| (name.to_owned(), version)).collect();
     let held = vec![ResidentModel { model: "base".into(), version: 1, adapters }];
-    Pressure { running, slots: 64, open: true, held: Some(held), ..Pressure::default() }
+    EngineLoadReport {
+        running,
+        slots: 64,
+        open: true,
+        resident: Some(held),
+        ..EngineLoadReport::default()
+    }
 }
 
 /// Offers `current` to the reporter at each of `times`. Returns how many reports were
@@ -25,14 +31,14 @@
 fn send(
     reporter: &mut LoadReporter,
     times: impl Iterator<Item = u64>,
-    current: &Pressure,
+    current: &EngineLoadReport,
 ) -> (u32, u32) {
     let mut count = (0, 0);
     for time in times {
         let Some(report) = reporter.next(at(time), current) else { continue };
         reporter.on_answer(at(time), true);
         count.0 += 1;
-        count.1 += u32::from(report.held.is_some());
+        count.1 += u32::from(report.resident.is_some());
     }
     count
 }
@@ -55,13 +61,14 @@
     send(&mut reporter, 0..1, &load_report(13, &[("roses", 1)]));
     assert_eq!(reporter.next(at(10), &load_report(15, &[("roses", 1)])), None);
     let busier = reporter.next(at(20), &load_report(19, &[("roses", 1)])).unwrap();
-    assert_eq!((busier.running, busier.held), (19, None));
+    assert_eq!((busier.running, busier.resident), (19, None));
     let newer = reporter.next(at(30), &load_report(19, &[("roses", 2)])).unwrap();
-    assert!(newer.held.is_some());
-    let delayed = Pressure { delay: Span::from_millis(90), ..load_report(19, &[("roses", 2)]) };
+    assert!(newer.resident.is_some());
+    let delayed =
+        EngineLoadReport { delay: Span::from_millis(90), ..load_report(19, &[("roses", 2)]) };
     reporter.on_answer(at(30), true);
     assert!(reporter.next(at(40), &delayed).is_some());
-    let closed = Pressure { open: false, ..delayed };
+    let closed = EngineLoadReport { open: false, ..delayed };
     assert!(reporter.next(at(50), &closed).is_some());
 }
 
@@ -72,11 +79,11 @@
 fn an_entry_that_lacks_the_adapters_is_sent_them() {
     let mut reporter = LoadReporter::default();
     let current = load_report(13, &[("roses", 1)]);
-    assert!(reporter.next(at(0), &current).unwrap().held.is_some());
-    assert!(reporter.next(at(250), &current).unwrap().held.is_some());
+    assert!(reporter.next(at(0), &current).unwrap().resident.is_some());
+    assert!(reporter.next(at(250), &current).unwrap().resident.is_some());
     // The stale answer to the first report says nothing about the second.
     reporter.on_answer(at(0), true);
-    assert!(reporter.next(at(500), &current).unwrap().held.is_some());
+    assert!(reporter.next(at(500), &current).unwrap().resident.is_some());
     reporter.on_answer(at(500), true);
     let engine = "127.0.0.1:1".parse().unwrap();
     let mut entry = Placement::default();
--- a/kingcupbayd/src/registered/store.rs
+++ b/kingcupbayd/src/registered/store.rs
@@ -6,7 +6,7 @@
 use kingcupbay_core::{
     deployment::waits::STORE_CALL_TIMEOUT,
     time::{Instant, Span},
-    wire::rows::{Page, Txn, TxnAnswer},
+    wire::rows::{RowPage, Txn, TxnAnswer},
 };
 use kingcupbay_platform::{Call, DecodeError, store as platform};
 use prometheus::IntCounterVec;
@@ -68,7 +68,7 @@
     }
 
     /// Rows of `table` from the key `from` on.
-    pub(crate) async fn read(&self, table: &str, from: &str) -> Result<Page, StoreError> {
+    pub(crate) async fn read(&self, table: &str, from: &str) -> Result<RowPage, StoreError> {
         self.calls.with_label_values(&["read", table]).inc();
         let answer = self.call(&platform::encode_read(table, from), STORE_CALL_TIMEOUT).await?;
         Ok(platform::decode_page(&answer.body)?)
@@ -81,7 +81,7 @@
         table: &str,
         after: u64,
         wait: Span,
-    ) -> Result<Page, StoreError> {
+    ) -> Result<RowPage, StoreError> {
         self.calls.with_label_values(&["feed", table]).inc();
         let answer = self
             .call(&platform::encode_feed(table, after, wait), wait + STORE_CALL_TIMEOUT)
