--- a/kingcupbay_bench/src/capacity/config.rs
+++ b/kingcupbay_bench/src/capacity/config.rs
@@ -170,6 +170,7 @@
     let encoded = median_cpu_micros(|| rmp_serde::to_vec(&snapshot));
     let decoded = median_cpu_micros(|| rmp_serde::from_slice::<Snapshot>(&bytes));
     let config = &snapshot.config;
+    // The patch that operators send most often: a new version of one adapter.
     let patch = patch(config, vec![version(adapters / 2, "v2")]);
     let applied = median_cpu_micros(|| config.patched(&patch));
     let (organisations, ..) = other_rows(adapters);
--- a/kingcupbay_bench/src/capacity/measure.rs
+++ b/kingcupbay_bench/src/capacity/measure.rs
@@ -31,7 +31,8 @@
     spent[REPEATS / 2]
 }
 
-/// Returns the mean processor time of `rounds` short steps, in microseconds.
+/// Returns the mean processor time per step over `rounds` short steps, in
+/// microseconds.
 pub(super) fn mean_cpu_micros<T>(rounds: u32, mut step: impl FnMut(u32) -> T) -> f64 {
     let began = thread_cpu_micros();
     for round in 0..rounds {
--- a/kingcupbay_bench/src/serve/model.rs
+++ b/kingcupbay_bench/src/serve/model.rs
@@ -15,6 +15,7 @@
 
 use super::{scheduler::Scheduler, trace::Setting};
 
+/// Events of a run; `usize` values are indices of requests or runners.
 #[derive(Debug)]
 pub(super) enum Event {
     Arrive(usize),
@@ -33,6 +34,7 @@
 pub(super) struct Runner {
     pub(super) scheduler: Scheduler,
     pub(super) incarnation: u64,
+    /// False while the engine restarts.
     pub(super) up: bool,
     pub(super) loaded: Vec<VersionId>,
     pub(super) loading: u32,
@@ -40,21 +42,25 @@
     pub(super) seq: u64,
     /// Time up to which the use of batch places has been counted.
     pub(super) counted: Instant,
+    /// When the next [`Event::Due`] is scheduled.
     pub(super) due: Instant,
 }
 
+/// State of one entry.
 #[derive(Debug)]
 pub(super) struct EntryState {
     pub(super) router: Router,
     pub(super) retries: RetryBudget,
 }
 
+/// State of one request.
 #[derive(Debug, Default)]
 pub(super) struct Request {
     pub(super) entry: usize,
     pub(super) upstream: usize,
     pub(super) guard: Option<InFlight>,
     pub(super) tried: Vec<UpstreamId>,
+    /// When the request began to wait for a load, until it starts or is refused.
     pub(super) stalled: Option<Instant>,
     /// Tokens already generated, and when the current attempt began to generate.
     pub(super) done: u64,
--- a/kingcupbay_bench/src/serve/sim.rs
+++ b/kingcupbay_bench/src/serve/sim.rs
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Runs until the last request is answered, or until twice the longest wait after
-    /// the last arrival.
+    /// Runs all arrivals, and on for twice the longest wait so that the last requests
+    /// are answered.
     pub(crate) fn run(mut self) -> Measures {
         for fraction in RESTART_FRACTIONS {
             let upstream = self.random.below(self.runners.len());
--- a/kingcupbay_bench/src/serve/trace.rs
+++ b/kingcupbay_bench/src/serve/trace.rs
@@ -8,7 +8,7 @@
 
 use super::random::{Random, Zipf};
 
-/// Adapters of all organisations.
+/// Number of adapters of all organisations.
 pub(crate) const ADAPTERS: usize = 3_000;
 
 /// Share of each organisation in the demand and in the adapters; two are large.
@@ -34,7 +34,7 @@
 pub(crate) struct Setting {
     /// Runners in three zones.
     pub(crate) runners: u32,
-    /// Adapter slots of a runner.
+    /// Adapter slots per runner.
     pub(crate) slots: u32,
     /// Requests that run at once on a runner.
     pub(crate) batch_size: usize,
