--- a/kingcupbay_soak/src/callers.rs
+++ b/kingcupbay_soak/src/callers.rs
@@ -8,7 +8,7 @@
 
 use actix_http::header::{self, HeaderMap};
 use kingcupbay_core::random::Random;
-use kingcupbay_standin::{Asked, named};
+use kingcupbay_standin::{CallerRequest, attempt_and_signature};
 use kingcupbayd::{Link, LinkError};
 
 use crate::{
@@ -232,7 +232,7 @@
     while let Some(chunk) = link.chunk().await? {
         bytes.extend_from_slice(&chunk);
     }
-    let (attempt, stamp) = named(&head.headers);
+    let (attempt, stamp) = attempt_and_signature(&head.headers);
     Ok(Answer {
         status: head.status.as_u16(),
         stamp,
@@ -243,14 +243,14 @@
 }
 
 fn headers(sent: &Sent) -> HeaderMap {
-    let asked = Asked {
+    let request = CallerRequest {
         attempt: &sent.attempt,
         key: &sent.key,
         deadline: TIMEOUT_MS,
         tokens: token_counts(sent.organisation),
         adapter: sent.adapter.as_deref(),
     };
-    asked.headers()
+    request.headers()
 }
 
 fn token_counts(organisation: &str) -> (u64, u64) {
--- a/kingcupbay_soak/src/fleet.rs
+++ b/kingcupbay_soak/src/fleet.rs
@@ -9,7 +9,7 @@
 };
 
 use actix_rt::task::JoinHandle;
-use kingcupbay_standin::{Registry, Runner, RunnerSettings};
+use kingcupbay_standin::{Registry, UpstreamServer, UpstreamSettings};
 
 use crate::{
     daemon::{Daemon, DaemonFiles},
@@ -65,7 +65,7 @@
     /// Service that it belongs to.
     pub service: &'static str,
     /// The stand-in that serves it.
-    pub runner: Runner,
+    pub runner: UpstreamServer,
     /// Proxy whose address is registered.
     pub proxy: Proxy,
     /// Whether it is registered as leaving.
@@ -112,15 +112,15 @@
         let operator = Operator::default();
         operator.configure(&store, 1);
         let engine = |at: usize| {
-            let settings = RunnerSettings {
-                places: ENGINE_SLOTS,
-                pause: EVENT_INTERVAL,
-                ..RunnerSettings::engine(&format!("gpu-{at}"), STREAM_EVENTS)
+            let settings = UpstreamSettings {
+                adapter_slots: ENGINE_SLOTS,
+                event_interval: EVENT_INTERVAL,
+                ..UpstreamSettings::engine(&format!("gpu-{at}"), STREAM_EVENTS)
             };
             Upstream::start("writer", settings, engine_ip(at))
         };
         let desk = |at: usize| {
-            let settings = RunnerSettings::plain(&format!("desk-{at}"));
+            let settings = UpstreamSettings::plain(&format!("desk-{at}"));
             Upstream::start("desk", settings, Ipv4Addr::LOCALHOST.into())
         };
         let engines = (0..size.engines).map(engine).collect::<io::Result<Vec<_>>>()?;
@@ -162,7 +162,7 @@
     pub fn register(&self, upstream: &Upstream, leaving: bool) {
         upstream.leaving.set(leaving);
         let at = upstream.proxy.address();
-        let row = upstream.runner.registered_at(at, upstream.service, leaving);
+        let row = upstream.runner.registration_at(at, upstream.service, leaving);
         self.store.put("servers", &upstream.id, &row);
     }
 
@@ -170,7 +170,7 @@
     pub fn announce(&self, adapter: &str) {
         // Engines must have the weights before the store announces the version.
         let next = self.operator.version(adapter) + 1;
-        self.engines.iter().for_each(|engine| engine.runner.announce(adapter, next));
+        self.engines.iter().for_each(|engine| engine.runner.set_newest_version(adapter, next));
         self.operator.announce(&self.store, adapter);
     }
 
@@ -178,7 +178,7 @@
     pub fn clear_faults(&self) -> io::Result<()> {
         let servers = self.upstreams().map(|upstream| upstream.runner.server());
         for server in servers.chain([self.store.server()]) {
-            server.order(kingcupbay_standin::FaultOrder::ClearAll);
+            server.apply(kingcupbay_standin::FaultOrder::ClearAll);
         }
         for host in self.hosts() {
             host.store.set(Flows::default());
@@ -196,9 +196,13 @@
 }
 
 impl Upstream {
-    fn start(service: &'static str, settings: RunnerSettings, ip: IpAddr) -> io::Result<Upstream> {
+    fn start(
+        service: &'static str,
+        settings: UpstreamSettings,
+        ip: IpAddr,
+    ) -> io::Result<Upstream> {
         let id = settings.id.clone();
-        let runner = Runner::start(any_port(), settings)?;
+        let runner = UpstreamServer::start(any_port(), settings)?;
         let proxy = Proxy::start(SocketAddr::new(ip, 0))?;
         proxy.set_target(runner.server().address());
         Ok(Upstream { id, service, runner, proxy, leaving: Cell::new(false) })
--- a/kingcupbay_soak/src/promises.rs
+++ b/kingcupbay_soak/src/promises.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use kingcupbay_standin::{RunnerOrder, RunnerRun};
+use kingcupbay_standin::{OrderIssuer, UpstreamRun};
 
 use crate::{
     fleet::STREAM_EVENTS,
@@ -30,9 +30,9 @@
     /// Id of the upstream.
     pub id: String,
     /// Requests that it executed.
-    pub runs: Vec<RunnerRun>,
+    pub runs: Vec<UpstreamRun>,
     /// Orders that it accepted, in the order of their arrival.
-    pub orders: Vec<RunnerOrder>,
+    pub orders: Vec<OrderIssuer>,
     /// Number of orders to load more adapters than it has slots.
     pub overloads: u32,
 }
@@ -70,7 +70,7 @@
 }
 
 /// Runs by request id, each with the id of its upstream.
-type Runs<'a> = BTreeMap<&'a str, Vec<(&'a str, &'a RunnerRun)>>;
+type Runs<'a> = BTreeMap<&'a str, Vec<(&'a str, &'a UpstreamRun)>>;
 
 /// Returns all broken promises.
 pub fn breaches(record: &Record<'_>) -> Vec<Breach> {
@@ -102,7 +102,7 @@
 fn find_unsent_runs(sent: &[Sent], runs: &Runs<'_>) -> Vec<Breach> {
     let known: BTreeSet<&str> = sent.iter().map(|req| req.attempt.as_str()).collect();
     let unknown = runs.iter().filter(|(attempt, _)| !known.contains(*attempt));
-    let details = |(attempt, ran): (&&str, &Vec<(&str, &RunnerRun)>)| {
+    let details = |(attempt, ran): (&&str, &Vec<(&str, &UpstreamRun)>)| {
         let ran: Vec<_> = ran.iter().map(|(id, run)| (id, &run.method, &run.path)).collect();
         breach("nobody sent it", format!("{attempt:?} at {ran:?}"))
     };
@@ -111,14 +111,14 @@
 
 /// Upstreams receive the caller's request unchanged, with its organisation and
 /// without the access key.
-fn check_unchanged(req: &Sent, ran: &[(&str, &RunnerRun)]) -> Vec<Breach> {
-    let same = |run: &RunnerRun| {
+fn check_unchanged(req: &Sent, ran: &[(&str, &UpstreamRun)]) -> Vec<Breach> {
+    let same = |run: &UpstreamRun| {
         run.method.as_str() == req.kind.method().as_str()
             && run.path == req.path
             && run.body == req.body.as_bytes()
             && run.adapter() == req.adapter.as_deref()
     };
-    let own = |run: &RunnerRun| run.organisation() == Some(req.organisation) && !run.has_key();
+    let own = |run: &UpstreamRun| run.organisation() == Some(req.organisation) && !run.has_key();
     let mut found = Vec::new();
     for (id, run) in ran {
         if !same(run) {
@@ -132,7 +132,7 @@
     found
 }
 
-fn check_run_count(req: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
+fn check_run_count(req: &Sent, ran: &[(&str, &UpstreamRun)]) -> Option<Breach> {
     let most = if req.kind.once() { 1 } else { 2 };
     let details = || {
         let at: Vec<&str> = ran.iter().map(|(id, _)| *id).collect();
@@ -142,7 +142,7 @@
 }
 
 /// A request that may run once and was refused never runs, not even later.
-fn check_refusal(req: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
+fn check_refusal(req: &Sent, ran: &[(&str, &UpstreamRun)]) -> Option<Breach> {
     let refused = matches!(req.status(), Some(408 | 421 | 429 | 503));
     let false_refusal = refused && req.kind.once() && !ran.is_empty();
     false_refusal
@@ -150,7 +150,7 @@
 }
 
 /// A successful answer is complete and belongs to this request.
-fn check_success(req: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
+fn check_success(req: &Sent, ran: &[(&str, &UpstreamRun)]) -> Option<Breach> {
     let Some(End::Answered(answer)) = &req.end else { return None };
     if !(200..300).contains(&answer.status) {
         return None;
@@ -172,7 +172,7 @@
 
 /// During planned work alone, a request that reached an upstream receives the
 /// answer of that upstream.
-fn check_not_lost(req: &Sent, ran: &[(&str, &RunnerRun)]) -> Option<Breach> {
+fn check_not_lost(req: &Sent, ran: &[(&str, &UpstreamRun)]) -> Option<Breach> {
     let lost = match &req.end {
         Some(End::Broken(_)) => !ran.is_empty(),
         Some(End::Answered(answer)) => matches!(answer.status, 500 | 502 | 504),
@@ -225,7 +225,7 @@
         .filter(|req| req.organisation == CLUB)
         .filter_map(|req| {
             let (_, run) = runs.get(req.attempt.as_str())?.first()?;
-            Some((req.at, run.at, req.tokens))
+            Some((req.at, run.started, req.tokens))
         })
         .collect();
     used.sort_unstable_by_key(|&(at, ..)| at);
--- a/kingcupbay_soak/src/run.rs
+++ b/kingcupbay_soak/src/run.rs
@@ -195,7 +195,7 @@
     let unanswered = sent.iter().find(|req| req.round > 0 && req.end.is_none());
     let ended =
         |attempt: &String| sent.iter().any(|req| req.attempt == *attempt && req.end.is_some());
-    let open = context.fleet.engines.iter().flat_map(|engine| engine.runner.open());
+    let open = context.fleet.engines.iter().flat_map(|engine| engine.runner.running_streams());
     unanswered.map(|req| req.attempt.clone()).or_else(|| open.into_iter().find(ended))
 }
 
@@ -213,8 +213,8 @@
         .map(|upstream| UpstreamRecord {
             id: upstream.id.clone(),
             runs: upstream.runner.runs(),
-            orders: upstream.runner.holders(),
-            overloads: upstream.runner.overloads(),
+            orders: upstream.runner.order_issuers(),
+            overloads: upstream.runner.refused_loads(),
         })
         .collect();
     let numbers = context.fleet.operator.numbers();
--- a/kingcupbay_soak/src/trouble.rs
+++ b/kingcupbay_soak/src/trouble.rs
@@ -161,9 +161,9 @@
         Trouble::Peers(at, fault) => disturb_path(&host(at).peers, fault, lasts).await,
         Trouble::Upstream(at, fault) => disturb_path(&upstream(at).proxy, fault, lasts).await,
         Trouble::Answers(at, fault) => set_fault(upstream(at).runner.server(), fault, lasts).await,
-        Trouble::Restart(at) => fleet.engines[at].runner.server().order(FaultOrder::Restart),
+        Trouble::Restart(at) => fleet.engines[at].runner.server().apply(FaultOrder::Restart),
         Trouble::Calls(fault) => set_fault(fleet.store.server(), fault, lasts).await,
-        Trouble::Forget => fleet.store.forget(),
+        Trouble::Forget => fleet.store.drop_history(),
         Trouble::Configure(step) => fleet.operator.configure(&fleet.store, step),
         Trouble::Announce(adapter) => fleet.announce(ADAPTERS[adapter]),
         Trouble::Leave(at) => leave_and_return(fleet, upstream(at), lasts).await,
@@ -206,9 +206,9 @@
 }
 
 async fn set_fault(server: &Server, fault: Fault, lasts: Duration) {
-    let id = server.set(Rule::new(fault));
+    let id = server.add_rule(Rule::new(fault));
     tokio::time::sleep(lasts).await;
-    server.order(FaultOrder::Clear(id));
+    server.apply(FaultOrder::Clear(id));
 }
 
 async fn leave_and_return(fleet: &Fleet, upstream: &Upstream, lasts: Duration) {
