--- a/kingcupbay_standin/src/lib.rs
+++ b/kingcupbay_standin/src/lib.rs
@@ -1,21 +1,22 @@
 //! Stand-ins for the platform, the engines and the plain services.
 //!
-//! Each binds an address and serves it on the current actix-rt thread; its
-//! handle gives typed access to what it recorded, and stops it when dropped.
-//! The binary runs the same ones as processes of their own. Faults are set
-//! through the handle's [`Server`], or by request with a [`Control`].
+//! Each binds an address and serves it on the current actix-rt thread. Its
+//! handle gives typed access to what it recorded and stops it when dropped.
+//! The binary runs each of them as a separate process. Faults are set through
+//! the handle's [`Server`], or over HTTP with a [`Control`].
 //!
-//! Beside its own interface each answers, untouched by any fault:
+//! Besides its own interface, each answers these requests, to which no fault
+//! applies:
 //!
 //! | request | answer |
 //! | --- | --- |
 //! | `POST /fault` with a [`FaultOrder`] | the [`RuleId`] of a new rule |
 //! | `GET /fault` | [`Faults`] |
-//! | `GET /fault/hit?ID=HITS` | when that rule has hit so often |
-//! | `PUT /received` with `{"on":true}` | switches the recording of bytes |
-//! | `GET /received` | all bytes recorded |
+//! | `GET /fault/hit?ID=HITS` | once that rule has hit that often |
+//! | `PUT /received` with `{"on":true}` | starts recording received bytes |
+//! | `GET /received` | all recorded bytes |
 //! | `GET /state` | its record; the host list and services have none |
-//! | `GET /executions` | [`Executions`]: the record of a plain service |
+//! | `GET /executions` | [`ExecutionCounts`]: the record of a plain service |
 
 mod changes;
 mod control;
@@ -27,28 +28,31 @@
 mod operator;
 mod platform;
 mod registry;
-mod runner;
 mod server;
 mod service;
 mod table;
+mod upstream;
 mod weights;
 
 pub use self::{
     control::{Control, ControlError},
     engine::{
-        Engine, Fenced, Settings as EngineSettings,
-        record::{EngineRecord, Outcome, Ran},
+        Engine, FencingConflict, Settings as EngineSettings,
+        record::{EngineRecord, Outcome, StreamRecord},
         text::{answer_text, prompt_tokens, token_text},
     },
-    fault::{Active, Fault, FaultOrder, Faults, Rule, RuleId},
+    fault::{Fault, FaultOrder, Faults, Rule, RuleId, RuleStatus},
     hosts::{HostList, Lag},
     objects::{Objects, ObjectsRecord},
-    operator::{Asked, Declared, DeclaredOrganisation, DeclaredRoute, HOST, announcement, named},
+    operator::{
+        CallerRequest, DeclaredConfig, DeclaredOrganisation, DeclaredRoute, ROUTE_HOST,
+        announcement_row, attempt_and_signature,
+    },
     platform::{Platform, PlatformRecord},
     registry::Registry,
-    runner::{MODEL, Runner, RunnerOrder, RunnerRun, RunnerSettings},
     server::Server,
-    service::{CALL_PATH, Executed, Executions, IDEMPOTENCY_HEADER, PlainService},
+    service::{CALL_PATH, Execution, ExecutionCounts, IDEMPOTENCY_HEADER, PlainService},
     table::{Table, TableRecord},
-    weights::{FULL_SPEED, LOAD_TIME, Sharing, Take, Weights, WeightsRecord},
+    upstream::{BASE_MODEL, OrderIssuer, UpstreamRun, UpstreamServer, UpstreamSettings},
+    weights::{FULL_SPEED_LOADS, LOAD_TIME, SharedBandwidth, TakeRequest, Weights, WeightsRecord},
 };
--- a/kingcupbayd/examples/embedded.rs
+++ b/kingcupbayd/examples/embedded.rs
@@ -55,7 +55,7 @@
     let any_port: SocketAddr = (Ipv4Addr::LOCALHOST, 0).into();
     let platform = Platform::start(any_port, Duration::from_millis(250))?;
     let settings =
-        EngineSettings { weights: Some(platform.server().address()), ..Default::default() };
+        EngineSettings { weight_store: Some(platform.server().address()), ..Default::default() };
     let engines = [Engine::start(any_port, settings.clone())?, Engine::start(any_port, settings)?];
     let service = PlainService::start(any_port)?;
     let mut daemons = Vec::new();
--- a/kingcupbayd/src/share/mod.rs
+++ b/kingcupbayd/src/share/mod.rs
@@ -95,7 +95,7 @@
             self.sync_config(now);
             let retry = self.retry.notified();
             // Read anew in each round: the process may be paused at an await.
-            let standing = self.fleet.holds(now);
+            let standing = self.fleet.may_act(now);
             let verdict = self.core.borrow_mut().admit(now, since, organisation, tokens, standing);
             let until = match verdict {
                 Verdict::Granted(inner) => {
--- a/kingcupbayd/tests/common/registered.rs
+++ b/kingcupbayd/tests/common/registered.rs
@@ -4,7 +4,7 @@
 use std::{net::SocketAddr, path::PathBuf};
 
 use kingcupbay_standin::{
-    Declared, DeclaredOrganisation, DeclaredRoute, Registry, Runner, RunnerSettings,
+    DeclaredConfig, DeclaredOrganisation, DeclaredRoute, Registry, UpstreamServer, UpstreamSettings,
 };
 use serde_json::Value;
 
@@ -26,20 +26,20 @@
 /// The store row of configuration `version`, in which the organisation holds
 /// `keys`.
 pub(crate) fn config_row(version: u64, keys: &[&str]) -> Value {
-    let route = |name, kind, service, attempts| DeclaredRoute {
+    let route = |name, kind, service, max_attempts| DeclaredRoute {
         name,
         kind,
         resumable: kind == "stream",
         service,
-        attempts,
+        max_attempts,
     };
     let winery = DeclaredOrganisation {
         name: "winery".to_owned(),
         keys: keys.iter().map(|&key| key.to_owned()).collect(),
         rate: 100_000,
-        plain: 100,
+        plain_tokens: 100,
     };
-    let declared = Declared {
+    let declared = DeclaredConfig {
         number: version,
         routes: vec![
             route("seats", "idempotent", "desk", 2),
@@ -48,8 +48,8 @@
         ],
         organisations: vec![winery],
         timeout: 10_000,
-        aim: 800,
-        places: 2,
+        latency_target: 800,
+        adapter_slots: 2,
     };
     declared.row()
 }
@@ -85,7 +85,7 @@
 }
 
 /// Starts the sidecar of `engine`.
-pub(crate) fn start_sidecar(host: &str, store: &Registry, engine: &Runner) -> Process {
+pub(crate) fn start_sidecar(host: &str, store: &Registry, engine: &UpstreamServer) -> Process {
     let engine = engine.server().address();
     start_daemon("upstream", host, store, &format!("engine = {engine}\nservice = writer\n"))
 }
@@ -101,7 +101,7 @@
     }
 
     /// Registers `upstream` in the store as a ready instance of `service`.
-    pub(crate) fn register(&self, id: &str, service: &str, upstream: &Runner) {
+    pub(crate) fn register(&self, id: &str, service: &str, upstream: &UpstreamServer) {
         self.store.put("servers", id, &upstream.registration(service, "ready"));
     }
 
@@ -177,10 +177,12 @@
     &[("x-model", "base/roses"), ("x-token-usage", "100,50")];
 
 /// Starts an engine, its sidecar and an entry that knows both.
-pub(crate) async fn start_engine_fleet(settings: RunnerSettings) -> (Fleet, Runner, Process) {
+pub(crate) async fn start_engine_fleet(
+    settings: UpstreamSettings,
+) -> (Fleet, UpstreamServer, Process) {
     let store = Registry::start(ANY_PORT).unwrap();
     store.put("op", "config", &config_row(1, &[KEY]));
-    let engine = Runner::start(ANY_PORT, settings).unwrap();
+    let engine = UpstreamServer::start(ANY_PORT, settings).unwrap();
     let sidecar = start_sidecar("upstream-1", &store, &engine);
     let entry = start_entry("entry-1", &store, sidecar.address("peers").port());
     let fleet = Fleet { store, entry };
--- a/kingcupbayd/tests/news.rs
+++ b/kingcupbayd/tests/news.rs
@@ -12,7 +12,7 @@
     wait_until,
 };
 use kingcupbay_core::{id::Number, wire::usage::UsageReport};
-use kingcupbay_standin::{Fault, FaultOrder, Registry, Rule, Runner, RunnerSettings};
+use kingcupbay_standin::{Fault, FaultOrder, Registry, Rule, UpstreamServer, UpstreamSettings};
 use serde_json::json;
 
 /// An entry on `host` that follows a store of its own, which knows `config(1)`.
@@ -51,13 +51,13 @@
 #[actix_rt::test]
 async fn an_entry_cut_off_from_the_store_hears_who_leaves() {
     let [mut cut, other] = two();
-    let desk = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     for fleet in [&cut, &other] {
         fleet.register("desk-1", "desk", &desk);
         fleet.wait_until_ready().await;
     }
     assert_eq!(cut.send("GET", "/seats/today", "a1").await.status, 200);
-    cut.store.server().set(Rule::new(Fault::Silent));
+    cut.store.server().add_rule(Rule::new(Fault::Silent));
     // The two stores count on their own; a removal is newer than what it removes.
     for round in 0..20 {
         other.store.put("op", "round", &json!(round));
@@ -72,7 +72,7 @@
     })
     .await;
     cut.store.remove("servers", "desk-1");
-    cut.store.server().order(FaultOrder::ClearAll);
+    cut.store.server().apply(FaultOrder::ClearAll);
     wait_until("the list after the cut", async || {
         cut.entry.has_line("after_outage=true").then_some(())
     })
@@ -87,7 +87,7 @@
 async fn what_an_entry_was_told_it_tells_on() {
     let fleets = [alone("entry-1"), alone("entry-2"), alone("entry-3")];
     let [first, second, third] = &fleets;
-    let desk = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     third.register("desk-1", "desk", &desk);
     third.wait_until_ready().await;
     list(first, "entry-2", second);
@@ -109,7 +109,7 @@
 #[actix_rt::test]
 async fn an_entry_that_is_behind_calls_nothing_unknown() {
     let fleet = Fleet::start(1).await;
-    let desk = Runner::start(ANY_PORT, RunnerSettings::plain("desk-1")).unwrap();
+    let desk = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &desk);
     fleet.wait_until_ready().await;
     assert_eq!(fleet.send_with("GET", "/seats/today", "a1", "new-key", &[]).await.status, 401);
@@ -143,18 +143,18 @@
 async fn a_listed_desk_goes_before_one_that_is_missing() {
     let mut fleet = Fleet::start(1).await;
     let desks = ["desk-1", "desk-2"].map(|id| {
-        let desk = Runner::start(ANY_PORT, RunnerSettings::plain(id)).unwrap();
+        let desk = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain(id)).unwrap();
         fleet.register(id, "desk", &desk);
         desk
     });
     fleet.wait_until_ready().await;
-    fleet.store.server().set(Rule::new(Fault::Silent));
+    fleet.store.server().add_rule(Rule::new(Fault::Silent));
     wait_until("the cut to show", async || {
         fleet.entry.has_line("table=servers event=feed_lost").then_some(())
     })
     .await;
     fleet.store.remove("servers", "desk-1");
-    fleet.store.server().order(FaultOrder::ClearAll);
+    fleet.store.server().apply(FaultOrder::ClearAll);
     wait_until("the list after the cut", async || {
         fleet.entry.has_line("after_outage=true").then_some(())
     })
--- a/kingcupbayd/tests/share.rs
+++ b/kingcupbayd/tests/share.rs
@@ -126,7 +126,7 @@
 async fn shares_move_while_the_table_is_down() {
     let begin = Instant::now();
     let fleet = start_two_entries().await;
-    control(&fleet.platform).set(Rule::new(Fault::Outage)).await.unwrap();
+    control(&fleet.platform).add_rule(Rule::new(Fault::Outage)).await.unwrap();
     // Every confirmation from the table has expired by then. No output shows
     // the expiry, so the test waits for a fixed time.
     tokio::time::sleep((FRESHNESS_BOUND + FRESHNESS_BOUND).into()).await;
