--- a/kingcupbayd/src/active.rs
+++ b/kingcupbayd/src/active.rs
@@ -1,10 +1,10 @@
-//! Requests that a daemon works on now, for its state dump.
+//! Requests that a daemon is working on, for its state dump.
 
 use std::{cell::RefCell, collections::BTreeMap, fmt::Write as _, rc::Rc};
 
 use kingcupbay_core::{id::RequestId, time::Instant};
 
-/// What a dump shows of one request.
+/// State of one request as the dump shows it.
 #[derive(Clone, Debug)]
 struct Row {
     organisation: String,
@@ -16,27 +16,27 @@
 
 type Rows = Rc<RefCell<BTreeMap<RequestId, Row>>>;
 
-/// Every request that this daemon works on.
+/// All requests that this daemon is working on.
 #[derive(Clone, Default)]
-pub(crate) struct Active {
+pub(crate) struct ActiveRequests {
     rows: Rows,
 }
 
-/// One request; its drop takes it off the list.
-pub(crate) struct Entered {
+/// A listed request; dropping it removes it from the list.
+pub(crate) struct ActiveGuard {
     request: RequestId,
     rows: Rows,
 }
 
-impl Active {
-    /// Puts a request on the list until the guard is dropped.
+impl ActiveRequests {
+    /// Adds a request to the list until the guard is dropped.
     pub(crate) fn enter(
         &self,
         request: RequestId,
         organisation: &str,
         model: &str,
         began: Instant,
-    ) -> Entered {
+    ) -> ActiveGuard {
         let row = Row {
             organisation: organisation.to_owned(),
             model: model.to_owned(),
@@ -45,10 +45,10 @@
             tokens: 0,
         };
         self.rows.borrow_mut().insert(request, row);
-        Entered { request, rows: self.rows.clone() }
+        ActiveGuard { request, rows: self.rows.clone() }
     }
 
-    /// One line for each request, in the order of their ids.
+    /// Returns one line for each request, in the order of their ids.
     pub(crate) fn dump(&self, now: Instant) -> String {
         let mut out = String::new();
         for (request, row) in self.rows.borrow().iter() {
@@ -66,8 +66,8 @@
     }
 }
 
-impl Entered {
-    /// Names the upstream that has the request.
+impl ActiveGuard {
+    /// Records the upstream that runs the request.
     pub(crate) fn on_upstream(&self, upstream: &str) {
         if let Some(row) = self.rows.borrow_mut().get_mut(&self.request)
             && row.upstream != upstream
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Counts the tokens of the request.
+    /// Records the number of tokens of the request so far.
     pub(crate) fn on_tokens(&self, tokens: u32) {
         if let Some(row) = self.rows.borrow_mut().get_mut(&self.request) {
             row.tokens = tokens;
@@ -84,7 +84,7 @@
     }
 }
 
-impl Drop for Entered {
+impl Drop for ActiveGuard {
     fn drop(&mut self) {
         self.rows.borrow_mut().remove(&self.request);
     }
--- a/kingcupbayd/src/entry/relay.rs
+++ b/kingcupbayd/src/entry/relay.rs
@@ -28,7 +28,7 @@
 use super::{Entry, admission::Caller};
 use crate::{
     clock,
-    http::{body, client::never_left},
+    http::{body, client::is_unsent},
 };
 
 /// When to retry if every upstream refused: about the time until the next load
@@ -287,7 +287,7 @@
                 Ok(Box::pin(FramedRead::new(StreamReader::new(bytes), codec)))
             }
             Ok(Ok(_)) => Err(AttemptError::Unreachable),
-            Ok(Err(error)) if never_left(&error) => Err(AttemptError::Unreachable),
+            Ok(Err(error)) if is_unsent(&error) => Err(AttemptError::Unreachable),
             Ok(Err(_)) => Err(AttemptError::Disconnected),
             Err(_) => Err(AttemptError::Silent),
         }
@@ -348,7 +348,7 @@
     /// Ends the attempt after its last frame, and keeps its connection.
     fn finish_attempt(&mut self) {
         if let Some(Attempt { frames, .. }) = self.attempt.take() {
-            actix_rt::spawn(body::exhaust(frames));
+            actix_rt::spawn(body::drain(frames));
         }
     }
 
