--- a/kingcupbay_bench/src/capacity/fleet.rs
+++ b/kingcupbay_bench/src/capacity/fleet.rs
@@ -302,7 +302,7 @@
 
 /// Runs a fleet after its warm-up and counts its messages; returns the processor
 /// time in microseconds.
-fn measure_settled(fleet: &mut Fleet, seconds: u64) -> f64 {
+fn measure_steady_state(fleet: &mut Fleet, seconds: u64) -> f64 {
     fleet.run(WARM_UP_MICROS, |_| false);
     fleet.counts = Counts::default();
     let began = thread_cpu_micros();
@@ -310,13 +310,13 @@
     thread_cpu_micros() - began
 }
 
-/// Returns the memory of gossip and standing per daemon in a settled fleet, in KiB.
+/// Returns the memory of gossip and standing per daemon of a fleet in steady state, in KiB.
 pub(super) fn memory(members: u32) -> f64 {
     let fleets = MEASURED_DAEMONS / members;
     let before = resident_bytes();
     for _ in 0..fleets {
         let mut fleet = Fleet::new(members, true);
-        measure_settled(&mut fleet, MEMORY_RUN_SECONDS);
+        measure_steady_state(&mut fleet, MEMORY_RUN_SECONDS);
         leak(fleet);
     }
     (resident_bytes() - before) / 1_024.0 / f64::from(fleets * members)
@@ -326,13 +326,13 @@
 pub(super) fn figures(members: u32, seconds: u64) -> Figures {
     let each = f64::from(members) * seconds as f64;
     let mut fleet = Fleet::new(members, false);
-    let idle_micros = measure_settled(&mut fleet, seconds);
+    let idle_micros = measure_steady_state(&mut fleet, seconds);
     let counts = std::mem::take(&mut fleet.counts);
     let healthy = fleet.measure_patch();
     fleet.table_up = false;
     let without_table = fleet.measure_patch();
     let mut with_records = Fleet::new(members, true);
-    let record_micros = measure_settled(&mut with_records, seconds);
+    let record_micros = measure_steady_state(&mut with_records, seconds);
     vec![
         counts.messages as f64 / each,
         counts.bytes as f64 / each,
--- a/kingcupbay_bench/src/capacity/router.rs
+++ b/kingcupbay_bench/src/capacity/router.rs
@@ -93,13 +93,14 @@
     let now = |round: u32| Instant::from_micros(u64::from(round) * 8_000);
     // A prime stride spreads the draws, so that no processor cache holds them all.
     let draw = |round: u32, bound: u32| round.wrapping_mul(7_919) % bound;
-    let held: Vec<_> = (0..upstreams).flat_map(|upstream| loaded(upstream, adapters)).collect();
+    let loaded_versions: Vec<_> =
+        (0..upstreams).flat_map(|upstream| loaded(upstream, adapters)).collect();
     let choose = |router: &mut Router, at: u32, version: VersionId| {
         router.choose(now(at), version, &bases[(version.raw() % BASE_MODELS) as usize], &[])
     };
-    let count = held.len() as u32;
+    let count = loaded_versions.len() as u32;
     let known = mean_cpu_micros(TIMED_DECISIONS, |at| {
-        choose(&mut router, at, held[draw(at, count) as usize])
+        choose(&mut router, at, loaded_versions[draw(at, count) as usize])
     });
     let any = mean_cpu_micros(TIMED_DECISIONS, |at| {
         choose(&mut router, TIMED_DECISIONS + at, VersionId::from_raw(draw(at, adapters)))
--- a/kingcupbay_bench/src/serve/measure.rs
+++ b/kingcupbay_bench/src/serve/measure.rs
@@ -16,8 +16,8 @@
     pub(crate) refusals: u64,
     /// Wait of the refused requests until their refusal.
     pub(crate) refusal_waits: Vec<Span>,
-    /// Microseconds that batch places were in use, and that they were offered while a
-    /// runner had work.
+    /// Microseconds of batch capacity in use, and of that offered while a runner had
+    /// work.
     pub(crate) busy_micros: u64,
     pub(crate) offered_micros: u64,
     /// Times to the first token of requests that arrived during the flood; a refused
--- a/kingcupbay_bench/src/serve/model.rs
+++ b/kingcupbay_bench/src/serve/model.rs
@@ -40,7 +40,7 @@
     pub(super) loading: u32,
     pub(super) running: BTreeMap<usize, VersionId>,
     pub(super) seq: u64,
-    /// Time up to which the use of batch places has been counted.
+    /// Time up to which the use of the batch has been counted.
     pub(super) counted: Instant,
     /// When the next [`Event::Due`] is scheduled.
     pub(super) due: Instant,
--- a/kingcupbay_bench/src/serve/sim.rs
+++ b/kingcupbay_bench/src/serve/sim.rs
@@ -468,7 +468,7 @@
         }
     }
 
-    /// Counts the use of batch places up to now; called before the use changes.
+    /// Counts the use of the batch up to now; called before the use changes.
     fn count_usage(&mut self, upstream: usize) {
         let runner = &mut self.runners[upstream];
         let span = self.now.since(runner.counted).as_micros();
--- a/kingcupbay_bench/src/share/load.rs
+++ b/kingcupbay_bench/src/share/load.rs
@@ -25,7 +25,7 @@
     pub(crate) length: Span,
 }
 
-/// Draws a request; `live` tells which entries the balancer sends requests to.
+/// Draws a request; `live` marks the entries that the balancer sends requests to.
 pub(crate) fn draw_request(random: &mut Random, organisation: usize, live: &[bool]) -> Request {
     let tokens = REQUEST_TOKENS.start + random.below(REQUEST_TOKENS.end - REQUEST_TOKENS.start);
     // The prompt is used completely and the permitted output partly: 60 % of all
--- a/kingcupbay_bench/tests/capacity.rs
+++ b/kingcupbay_bench/tests/capacity.rs
@@ -22,7 +22,8 @@
     let row = |line: &str| Some(line.strip_prefix("| ")?.split_once(" | ")?.0.to_owned());
     // The table head and the separator below it are not rows.
     let head = |line: &&str| line.contains("| residual |") || line.starts_with("| ---");
-    let held: Vec<String> = measured.lines().filter(|line| !head(line)).filter_map(row).collect();
+    let documented: Vec<String> =
+        measured.lines().filter(|line| !head(line)).filter_map(row).collect();
 
-    assert_eq!(held, printed);
+    assert_eq!(documented, printed);
 }
--- a/kingcupbay_core/src/admission/load_report.rs
+++ b/kingcupbay_core/src/admission/load_report.rs
@@ -43,8 +43,8 @@
         self.sent_at = now;
         self.acknowledged = known;
         self.last = Some(report.clone());
-        let held = if known { None } else { report.resident.clone() };
-        Some(EngineLoadReport { resident: held, ..report.clone() })
+        let resident = if known { None } else { report.resident.clone() };
+        Some(EngineLoadReport { resident, ..report.clone() })
     }
 
     /// Applies the entry's answer to the report sent at `at`: whether it knows the
@@ -57,7 +57,7 @@
 }
 
 fn load_changed(last: &EngineLoadReport, now: &EngineLoadReport) -> bool {
-    let load = |pressure: &EngineLoadReport| pressure.running + pressure.waiting;
+    let load = |report: &EngineLoadReport| report.running + report.waiting;
     let change = load(last).abs_diff(load(now)) * 100;
     last.open != now.open
         || change >= now.slots.max(1) * LOAD_CHANGE_PERCENT
--- a/kingcupbay_core/src/admission/mod.rs
+++ b/kingcupbay_core/src/admission/mod.rs
@@ -172,9 +172,9 @@
 
     /// Records the longest pause between two events of a stream that ended normally.
     pub fn on_stream_complete(&mut self, attempt: &str, pause: Span) {
-        if let Some(gap) = self.running.delayed_gap(attempt) {
+        if let Some(event_gap) = self.running.delayed_gap(attempt) {
             self.prefill_scale
-                .on_stream_complete(pause, gap.unwrap_or(estimate::DEFAULT_EVENT_GAP));
+                .on_stream_complete(pause, event_gap.unwrap_or(estimate::DEFAULT_EVENT_GAP));
         }
     }
 
--- a/kingcupbay_core/src/admission/prefill.rs
+++ b/kingcupbay_core/src/admission/prefill.rs
@@ -101,9 +101,9 @@
 
 impl PrefillScale {
     /// Records the longest pause of a stream that ended normally and ran while
-    /// prompts were delayed; `gap` is its event gap.
-    pub(super) fn on_stream_complete(&mut self, pause: Span, gap: Span) {
-        let share = pause.as_millis_f64() / gap.as_millis_f64().max(1.0);
+    /// prompts were delayed.
+    pub(super) fn on_stream_complete(&mut self, pause: Span, event_gap: Span) {
+        let share = pause.as_millis_f64() / event_gap.as_millis_f64().max(1.0);
         self.streams += 1;
         self.stalled += u32::from(share > 1.0);
         self.longest_share = self.longest_share.max(share);
@@ -141,19 +141,19 @@
 }
 
 impl PrefillLimit {
-    /// Computes the limit for an engine of this speed whose streams have the event
-    /// gap `gap`; `factor` scales the limit per event gap.
-    pub fn new(speed: &Speed, gap: Span, factor: f64) -> PrefillLimit {
+    /// Computes the limit for an engine of this speed whose streams have this event
+    /// gap; `factor` scales the limit per event gap.
+    pub fn new(speed: &Speed, event_gap: Span, factor: f64) -> PrefillLimit {
         let chunks = speed.tokens_per_event();
         let chunk = speed.prefill_time(PREFILL_CHUNK_TOKENS).as_micros();
         let longest = speed.event_interval() + Span::from_micros((chunks * chunk as f64) as u64);
-        if longest <= gap {
+        if longest <= event_gap {
             return PrefillLimit::Window(speed.prefill_tokens_in(UNREAD_WINDOW));
         }
-        let free = gap.saturating_sub(speed.event_interval());
+        let free = event_gap.saturating_sub(speed.event_interval());
         let computed = speed.prefill_tokens_in(free) * PREFILL_TIME_PERCENT / 100;
         let budget = (computed as f64 * factor) as u64;
-        match budget >= speed.prefill_tokens_in(gap) {
+        match budget >= speed.prefill_tokens_in(event_gap) {
             true => PrefillLimit::Window(speed.prefill_tokens_in(UNREAD_WINDOW)),
             false => PrefillLimit::PerGap(budget),
         }
@@ -166,10 +166,10 @@
     }
 
     /// Returns the time until the last of `tokens` can be sent.
-    pub(super) fn wait_time(self, speed: &Speed, gap: Span, tokens: u64) -> Span {
+    pub(super) fn wait_time(self, speed: &Speed, event_gap: Span, tokens: u64) -> Span {
         match self {
             PrefillLimit::PerGap(budget) => {
-                Span::from_micros(tokens.saturating_mul(gap.as_micros()) / budget.max(1))
+                Span::from_micros(tokens.saturating_mul(event_gap.as_micros()) / budget.max(1))
             }
             PrefillLimit::Window(_) => speed.prefill_time(tokens),
         }
@@ -188,9 +188,9 @@
         self.grants.push_back((now, tokens));
     }
 
-    /// Removes grants that are older than `gap`.
-    pub(super) fn expire(&mut self, now: Instant, gap: Span) {
-        while self.grants.front().is_some_and(|&(at, _)| now.since(at) >= gap) {
+    /// Removes grants that are older than `event_gap`.
+    pub(super) fn expire(&mut self, now: Instant, event_gap: Span) {
+        while self.grants.front().is_some_and(|&(at, _)| now.since(at) >= event_gap) {
             self.grants.pop_front();
         }
     }
--- a/kingcupbay_core/src/admission/report.rs
+++ b/kingcupbay_core/src/admission/report.rs
@@ -52,7 +52,7 @@
 
     /// Whether the base model of `name` is loaded.
     pub fn has_model(&self, name: &AdapterName) -> bool {
-        self.resident.iter().any(|held| held.model == name.model)
+        self.resident.iter().any(|resident| resident.model == name.model)
     }
 
     /// Whether `name` is being loaded.
@@ -62,15 +62,16 @@
 
     /// Returns the adapter slots in use, including those of pending loads.
     pub fn used_adapter_slots(&self) -> usize {
-        self.resident.iter().map(|held| held.adapters.len()).sum::<usize>() + self.pending.len()
+        self.resident.iter().map(|resident| resident.adapters.len()).sum::<usize>()
+            + self.pending.len()
     }
 
     /// Returns every loaded adapter with its version.
     pub fn adapters(&self) -> impl Iterator<Item = (AdapterName, u32)> {
-        self.resident.iter().flat_map(|held| {
-            held.adapters.iter().map(|(adapter, &version)| {
+        self.resident.iter().flat_map(|resident| {
+            resident.adapters.iter().map(|(adapter, &version)| {
                 let name =
-                    AdapterName { model: held.model.clone(), adapter: Some(adapter.clone()) };
+                    AdapterName { model: resident.model.clone(), adapter: Some(adapter.clone()) };
                 (name, version)
             })
         })
--- a/kingcupbay_core/src/claim/machine.rs
+++ b/kingcupbay_core/src/claim/machine.rs
@@ -247,7 +247,7 @@
     }
 
     /// Sends the call, now that the claim is written, unless the caller was
-    /// already told that it did not run.
+    /// already answered that it did not run.
     fn send_call(&mut self, revision: u64) -> Vec<Action> {
         if self.answered {
             return self.release(revision, deadline_passed(), 1);
--- a/kingcupbay_core/src/config/change.rs
+++ b/kingcupbay_core/src/config/change.rs
@@ -436,8 +436,8 @@
 
     fn join(&mut self, member: Member) -> Result<(), Refusal> {
         check_address("member", &member.host, &member.address)?;
-        // A new incarnation gets a new member id, so that vouches of the old
-        // incarnation are not counted for the new one.
+        // A new incarnation gets a new member id, so that confirmations of the
+        // old incarnation are not counted for the new one.
         if let Some(old) = self.member_names.remove(&member.host) {
             self.members.remove(old);
         }
--- a/kingcupbay_core/src/config/model.rs
+++ b/kingcupbay_core/src/config/model.rs
@@ -167,7 +167,7 @@
     pub zone: Name,
     /// Role of the daemon.
     pub role: Role,
-    /// Random number drawn at each start. A restarted daemon vouches for no one
+    /// Random number drawn at each start. A restarted daemon confirms nothing
     /// until it has read its own new incarnation from the store.
     pub incarnation: u64,
 }
--- a/kingcupbay_core/src/deployment/model.rs
+++ b/kingcupbay_core/src/deployment/model.rs
@@ -225,9 +225,9 @@
     pub adapters: BTreeMap<String, u32>,
 }
 
-/// Returns the version in which `held` contains `name`.
-pub fn resident_version(held: &[ResidentModel], name: &AdapterName) -> Option<u32> {
-    let resident = held.iter().find(|resident| resident.model == name.model)?;
+/// Returns the version in which `models` contains `name`.
+pub fn resident_version(models: &[ResidentModel], name: &AdapterName) -> Option<u32> {
+    let resident = models.iter().find(|resident| resident.model == name.model)?;
     match &name.adapter {
         Some(adapter) => resident.adapters.get(adapter).copied(),
         None => Some(resident.version),
--- a/kingcupbay_core/src/deployment/read_positions.rs
+++ b/kingcupbay_core/src/deployment/read_positions.rs
@@ -2,8 +2,8 @@
 //!
 //! If every entry read every change, the number of store calls would be the number of
 //! entries times the number of changes. Instead, a few entries read the store
-//! ([`super::readers`]). Their usage reports tell the others how far they have read and
-//! what has changed.
+//! ([`super::readers`]). Their usage reports state how far they have read and what
+//! has changed.
 //!
 //! An entry knows a table as of a version of the store. A [`ReadPosition`] of another entry
 //! advances that version only if no change is missing in between. An entry whose position
@@ -36,10 +36,10 @@
         }
     }
 
-    /// Returns whether an entry that lacks changes before `reading` must read them from
+    /// Returns whether an entry that lacks changes before `position` must read them from
     /// the store. Otherwise another reader's usage report may carry them.
-    fn must_be_read(self, reading: &ReadPosition) -> bool {
-        self == Table::Operator || reading.changes.len() >= CHANGES_PER_REPORT_MAX
+    fn must_be_read(self, position: &ReadPosition) -> bool {
+        self == Table::Operator || position.changes.len() >= CHANGES_PER_REPORT_MAX
     }
 }
 
@@ -120,24 +120,24 @@
         &mut self,
         now: Instant,
         table: Table,
-        reading: ReadPosition,
+        position: ReadPosition,
     ) -> Option<Vec<TableChange>> {
         let progress = self.tables.entry(table).or_default();
-        if progress.known < reading.since {
-            if table.must_be_read(&reading) {
-                progress.unreported = progress.unreported.max(reading.since);
+        if progress.known < position.since {
+            if table.must_be_read(&position) {
+                progress.unreported = progress.unreported.max(position.since);
             }
             return None;
         }
         let known = progress.known;
-        let mut changes = reading.changes;
-        changes.retain(|change| known < change.version && change.version <= reading.version);
+        let mut changes = position.changes;
+        changes.retain(|change| known < change.version && change.version <= position.version);
         changes.sort_by_key(|change| change.version);
-        progress.known = known.max(reading.version);
+        progress.known = known.max(position.version);
         // The sender reports these changes to all other entries too.
         let reported = changes.last().map_or(0, |change| change.version);
         progress.since = progress.since.max(reported);
-        let age = reading.age + STORE_ANSWER_MAX;
+        let age = position.age + STORE_ANSWER_MAX;
         let as_of = Instant::from_micros(now.as_micros().saturating_sub(age.as_micros()));
         progress.confirmed = progress.confirmed.max(Some(as_of));
         Some(changes)
--- a/kingcupbay_core/src/gossip/record.rs
+++ b/kingcupbay_core/src/gossip/record.rs
@@ -97,7 +97,7 @@
     pub(super) fn merge(&mut self, updates: Vec<RecordUpdate>) {
         for RecordUpdate(member, topic, sequence, body) in updates {
             let record = self.by_topic_mut(topic).entry(member).or_default();
-            // A late answer must not bring back an older state.
+            // A stale answer must not bring back an older state.
             if sequence > record.sequence && self.me != Some(member) {
                 *self.by_topic_mut(topic).entry(member).or_default() = Record { sequence, body };
             }
--- a/kingcupbay_core/src/placement.rs
+++ b/kingcupbay_core/src/placement.rs
@@ -54,7 +54,7 @@
 /// One engine, as of its last load report.
 #[derive(Clone, Debug, Default)]
 struct EngineState {
-    pressure: EngineLoadReport,
+    report: EngineLoadReport,
     /// When the report arrived.
     reported: Option<Instant>,
     /// Requests sent to the engine since then.
@@ -76,13 +76,13 @@
         &mut self,
         now: Instant,
         engine: SocketAddr,
-        pressure: EngineLoadReport,
+        report: EngineLoadReport,
     ) -> bool {
         let before = self.engines.remove(&engine);
-        let held = pressure.resident.or_else(|| before.and_then(|state| state.pressure.resident));
-        let known = held.is_some();
-        let pressure = EngineLoadReport { resident: held, ..pressure };
-        self.engines.insert(engine, EngineState { pressure, reported: Some(now), sent: 0 });
+        let resident = report.resident.or_else(|| before.and_then(|state| state.report.resident));
+        let known = resident.is_some();
+        let report = EngineLoadReport { resident, ..report };
+        self.engines.insert(engine, EngineState { report, reported: Some(now), sent: 0 });
         known
     }
 
@@ -105,7 +105,7 @@
 
     /// Returns the version of `name` that `engine` last reported as resident.
     pub fn resident_version(&self, engine: SocketAddr, name: &AdapterName) -> Option<u32> {
-        resident_version(self.engines.get(&engine)?.pressure.resident.as_deref()?, name)
+        resident_version(self.engines.get(&engine)?.report.resident.as_deref()?, name)
     }
 
     /// Returns the best of `candidates` for a request of `name`.
@@ -166,7 +166,7 @@
     /// [`PREFILL_DELAY_SCALE_MS`].
     fn load(&self, now: Instant, engine: SocketAddr) -> f64 {
         let Some(state) = self.engines.get(&engine) else { return 0.0 };
-        let report = &state.pressure;
+        let report = &state.report;
         let slots = f64::from(report.slots.max(1));
         let sent = f64::from(state.sent) / slots;
         let fresh = state.reported.is_some_and(|reported| now.since(reported) < REPORT_AGE_MAX);
--- a/kingcupbay_core/src/share/shares.rs
+++ b/kingcupbay_core/src/share/shares.rs
@@ -435,8 +435,8 @@
         let held =
             self.accounts.iter().map(holding).filter(|(_, held)| *held != Default::default());
         let new = |id: &&OrganisationId| !before.totals.contains_key(id);
-        // An entry that was no holder before cannot tell that an organisation
-        // is new.
+        // An entry that was no holder before does not know whether an
+        // organisation is new.
         let held_before = before.holders.contains(&self.me);
         let fresh = self.plan.totals.keys().filter(new).filter(|_| held_before);
         Report {
--- a/kingcupbay_core/src/standing/accept.rs
+++ b/kingcupbay_core/src/standing/accept.rs
@@ -81,7 +81,7 @@
 
     /// Reports the answer to the write, `None` if it was lost. The table may have
     /// executed a write whose answer was lost, and a conflict may come from this
-    /// patch's own earlier write. Only the delta row tells in both cases.
+    /// patch's own earlier write. Only the delta row shows the outcome in both cases.
     pub fn finish_write(&mut self, answer: Option<&TxnAnswer>) {
         if self.stage != Stage::Writing {
             return;
--- a/kingcupbay_core/src/standing/mod.rs
+++ b/kingcupbay_core/src/standing/mod.rs
@@ -112,7 +112,7 @@
     }
 
     /// Moves to the configuration of `membership`. Ignores one that is not newer,
-    /// so late and duplicate answers never take the daemon back.
+    /// so stale and duplicate answers never move the daemon back.
     pub fn advance(&mut self, membership: Membership) {
         if membership.number <= self.membership.number {
             return;
--- a/kingcupbay_core/tests/admission.rs
+++ b/kingcupbay_core/tests/admission.rs
@@ -373,7 +373,7 @@
 }
 
 /// A request expires while it waits for a load. The loads ahead of it are still to be
-/// done, so its caller must not be told to retry at once.
+/// done, so its caller must not be asked to retry at once.
 #[test]
 fn an_expired_request_is_not_retried_at_once() {
     let mut engine = engine();
--- a/kingcupbay_core/tests/load_report.rs
+++ b/kingcupbay_core/tests/load_report.rs
@@ -16,12 +16,12 @@
 
 fn load_report(running: u32, adapters: &[(&str, u32)]) -> EngineLoadReport {
     let adapters = adapters.iter().map(|&(name, version)| (name.to_owned(), version)).collect();
-    let held = vec![ResidentModel { model: "base".into(), version: 1, adapters }];
+    let resident = vec![ResidentModel { model: "base".into(), version: 1, adapters }];
     EngineLoadReport {
         running,
         slots: 64,
         open: true,
-        resident: Some(held),
+        resident: Some(resident),
         ..EngineLoadReport::default()
     }
 }
--- a/kingcupbay_core/tests/placement.rs
+++ b/kingcupbay_core/tests/placement.rs
@@ -25,14 +25,14 @@
     AdapterName { model: "base".into(), adapter: Some(format!("a{adapter}")) }
 }
 
-fn pressure(running: u32, held: &[u32]) -> EngineLoadReport {
-    let adapters = held.iter().map(|adapter| (format!("a{adapter}"), 1)).collect();
-    let held = vec![ResidentModel { model: "base".into(), version: 1, adapters }];
+fn load_report(running: u32, adapters: &[u32]) -> EngineLoadReport {
+    let adapters = adapters.iter().map(|adapter| (format!("a{adapter}"), 1)).collect();
+    let resident = vec![ResidentModel { model: "base".into(), version: 1, adapters }];
     EngineLoadReport {
         running,
         slots: 48,
         open: true,
-        resident: Some(held),
+        resident: Some(resident),
         ..EngineLoadReport::default()
     }
 }
@@ -77,7 +77,7 @@
     let home = placement.choose(at(0), &name(1), &engines).unwrap();
     for &engine in &engines {
         let running = if engine == home { 40 } else { 4 };
-        placement.on_load_report(at(0), engine, pressure(running, &[1]));
+        placement.on_load_report(at(0), engine, load_report(running, &[1]));
     }
     assert_ne!(placement.choose(at(10), &name(1), &engines), Some(home));
 }
@@ -90,7 +90,7 @@
     let engines = engines(6);
     let mut placement = Placement::default();
     for &engine in &engines[..3] {
-        placement.on_load_report(at(0), engine, pressure(2, &[1]));
+        placement.on_load_report(at(0), engine, load_report(2, &[1]));
     }
     let mut sent: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     for _ in 0..12 {
@@ -108,7 +108,7 @@
     let mut placement = Placement::default();
     for (at_engine, &engine) in engines.iter().enumerate() {
         let running = [9, 3, 8, 7][at_engine];
-        placement.on_load_report(at(0), engine, pressure(running, &[]));
+        placement.on_load_report(at(0), engine, load_report(running, &[]));
     }
     let base = AdapterName { model: "base".into(), adapter: None };
     assert_eq!(placement.choose(at(10), &base, &engines), Some(engines[1]));
@@ -123,8 +123,8 @@
     let mut placement = Placement::default();
     let home = placement.choose(at(0), &name(1), &engines).unwrap();
     for &engine in &engines {
-        let (running, held) = if engine == home { (40, &[1][..]) } else { (4, &[][..]) };
-        placement.on_load_report(at(0), engine, pressure(running, held));
+        let (running, adapters) = if engine == home { (40, &[1][..]) } else { (4, &[][..]) };
+        placement.on_load_report(at(0), engine, load_report(running, adapters));
     }
     assert_eq!(placement.choose(at(10), &name(1), &engines), Some(home));
     let replica = placement.choose_replica(at(10), &name(1), &engines);
@@ -142,8 +142,8 @@
     let home = placement.choose(at(0), &name(1), &engines).unwrap();
     assert_eq!(placement.choose_replica(at(0), &name(1), &engines), None);
     for &engine in &engines {
-        let (running, held) = if engine == home { (60, &[1][..]) } else { (4, &[][..]) };
-        placement.on_load_report(at(0), engine, pressure(running, held));
+        let (running, adapters) = if engine == home { (60, &[1][..]) } else { (4, &[][..]) };
+        placement.on_load_report(at(0), engine, load_report(running, adapters));
     }
     assert_ne!(placement.choose(at(10), &name(1), &engines), Some(home));
 }
@@ -155,7 +155,7 @@
     let mut placement = Placement::default();
     let home = placement.choose(at(0), &name(1), &engines).unwrap();
     let holder = *engines.iter().find(|&&engine| engine != home).unwrap();
-    placement.on_load_report(at(0), holder, pressure(2, &[1]));
+    placement.on_load_report(at(0), holder, load_report(2, &[1]));
     assert_eq!(placement.choose(at(10), &name(1), &engines), Some(holder));
 }
 
--- a/kingcupbay_core/tests/read_positions.rs
+++ b/kingcupbay_core/tests/read_positions.rs
@@ -119,9 +119,9 @@
     assert!(listener.on_position(at(10), UPSTREAMS, report(&mut reader, at(10))).is_some());
     assert!(listener.remaining(at(10), UPSTREAMS).is_some());
     reader.on_page(at(100), UPSTREAMS, 99, (11..90).map(gone));
-    let reading = report(&mut reader, at(110));
-    assert!(reading.changes.len() < 79);
-    assert!(listener.on_position(at(110), UPSTREAMS, reading).is_none());
+    let position = report(&mut reader, at(110));
+    assert!(position.changes.len() < 79);
+    assert!(listener.on_position(at(110), UPSTREAMS, position).is_none());
     assert_eq!(listener.known(UPSTREAMS), 10);
     assert_eq!(listener.remaining(at(110), UPSTREAMS), None);
 }
@@ -134,8 +134,8 @@
     let mut listener = ReadPositions::default();
     listener.on_list(at(0), UPSTREAMS, 10, 10);
     let limit = UPSTREAMS.max_age().as_millis();
-    let reading = report(&mut reader, at(limit - 200));
-    assert!(listener.on_position(at(limit - 200), UPSTREAMS, reading).is_some());
+    let position = report(&mut reader, at(limit - 200));
+    assert!(listener.on_position(at(limit - 200), UPSTREAMS, position).is_some());
     assert!(listener.remaining(at(limit - 200), UPSTREAMS).is_some());
     assert_eq!(listener.remaining(at(limit), UPSTREAMS), None);
     assert!(reader.report(at(limit + 1)).is_empty());
@@ -149,8 +149,8 @@
     let newer = ReadPosition { version: 30, age: Span::ZERO, since: 10, changes: Vec::new() };
     assert!(reader.on_position(at(100), UPSTREAMS, newer).is_some());
     reader.on_page(at(200), UPSTREAMS, 20, []);
-    let reading = report(&mut reader, at(300));
-    assert_eq!((reading.version, reading.age), (10, Span::from_millis(300)));
+    let position = report(&mut reader, at(300));
+    assert_eq!((position.version, position.age), (10, Span::from_millis(300)));
     assert_eq!(reader.known(UPSTREAMS), 30);
 }
 
@@ -163,11 +163,11 @@
     let changes = second.on_position(at(110), UPSTREAMS, report(&mut first, at(110)));
     assert_eq!(versions(&changes.unwrap()), [15]);
     second.on_page(at(200), UPSTREAMS, 30, [gone(25)]);
-    let reading = report(&mut second, at(210));
-    assert!(listener.on_position(at(210), UPSTREAMS, reading.clone()).is_none());
+    let position = report(&mut second, at(210));
+    assert!(listener.on_position(at(210), UPSTREAMS, position.clone()).is_none());
     let repeated = report(&mut first, at(450));
     assert_eq!(versions(&listener.on_position(at(450), UPSTREAMS, repeated).unwrap()), [15]);
-    assert_eq!(versions(&listener.on_position(at(460), UPSTREAMS, reading).unwrap()), [25]);
+    assert_eq!(versions(&listener.on_position(at(460), UPSTREAMS, position).unwrap()), [25]);
 }
 
 /// A newer configuration is too large for a usage report. A listener that learns of it
@@ -258,8 +258,8 @@
     entry: &mut (ReadPositions, Vec<u64>),
     reported: &BTreeMap<Table, ReadPosition>,
 ) {
-    for (&table, reading) in reported {
-        if let Some(changes) = entry.0.on_position(now, table, reading.clone()) {
+    for (&table, position) in reported {
+        if let Some(changes) = entry.0.on_position(now, table, position.clone()) {
             entry.1.extend(versions(&changes));
         }
     }
@@ -279,6 +279,6 @@
 #[test]
 fn a_read_position_states_its_age() {
     let mut reader = reader(10);
-    let reading = report(&mut reader, at(300));
-    assert_eq!(reading.age, Span::from_millis(300));
+    let position = report(&mut reader, at(300));
+    assert_eq!(position.age, Span::from_millis(300));
 }
--- a/kingcupbay_core/tests/spec_claim.rs
+++ b/kingcupbay_core/tests/spec_claim.rs
@@ -378,8 +378,8 @@
         &world.state("start".to_owned()),
         |state| {
             states.set(states.get() + 1);
-            let given = state.world.actors.iter().filter_map(|actor| actor.answer.as_ref());
-            answers.extend(given.map(describe));
+            let answered = state.world.actors.iter().filter_map(|actor| actor.answer.as_ref());
+            answers.extend(answered.map(describe));
             steps(&state.world, bounds)
         },
         |state| state.world.violations().iter().any(|found| wanted.contains(found)),
--- a/kingcupbay_core/tests/spec_standing/main.rs
+++ b/kingcupbay_core/tests/spec_standing/main.rs
@@ -86,8 +86,8 @@
     expect_none(Bounds::duplicated());
 }
 
-/// An operator is told that a key is withdrawn while only the writer holds the
-/// patch. Then the writer is cut off, and two entries that confirm each other
+/// An operator's withdrawal of a key is acknowledged while only the writer holds
+/// the patch. Then the writer is cut off, and two entries that confirm each other
 /// go on honouring the key.
 #[test]
 fn acknowledging_without_the_majority_is_found() {
--- a/kingcupbay_soak/src/callers.rs
+++ b/kingcupbay_soak/src/callers.rs
@@ -232,10 +232,10 @@
     while let Some(chunk) = link.chunk().await? {
         bytes.extend_from_slice(&chunk);
     }
-    let (attempt, stamp) = attempt_and_signature(&head.headers);
+    let (attempt, signature) = attempt_and_signature(&head.headers);
     Ok(Answer {
         status: head.status.as_u16(),
-        stamp,
+        stamp: signature,
         attempt,
         returns: head.headers.contains_key(header::RETRY_AFTER),
         body: String::from_utf8_lossy(&bytes).into_owned(),
--- a/kingcupbay_soak/src/fleet.rs
+++ b/kingcupbay_soak/src/fleet.rs
@@ -119,12 +119,12 @@
             };
             Upstream::start("writer", settings, engine_ip(at))
         };
-        let desk = |at: usize| {
+        let service = |at: usize| {
             let settings = UpstreamSettings::plain(&format!("desk-{at}"));
             Upstream::start("desk", settings, Ipv4Addr::LOCALHOST.into())
         };
         let engines = (0..size.engines).map(engine).collect::<io::Result<Vec<_>>>()?;
-        let services = (0..size.services).map(desk).collect::<io::Result<Vec<_>>>()?;
+        let services = (0..size.services).map(service).collect::<io::Result<Vec<_>>>()?;
         let (port, proxies) = start_sidecar_proxies(size.engines)?;
         let sidecars =
             proxies.into_iter().zip(&engines).enumerate().map(|(at, (peers, engine))| {
--- a/kingcupbay_standin/tests/engine.rs
+++ b/kingcupbay_standin/tests/engine.rs
@@ -110,11 +110,11 @@
 #[actix_rt::test]
 async fn adapter_in_use_is_not_unloaded() {
     // Running and waiting requests both use their adapter.
-    for (held, waits) in [("rose@v1", "base"), ("base", "rose@v1")] {
+    for (runs, waits) in [("rose@v1", "base"), ("base", "rose@v1")] {
         let engine = engine(|settings| settings.batch_size = 1);
         load(&engine, "rose@v1", 1).await;
         engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 1 }).times(1));
-        let running = generate(&engine, &generate_order(held, 1, 9)).await;
+        let running = generate(&engine, &generate_order(runs, 1, 9)).await;
         let waiting = generate(&engine, &generate_order(waits, 2, 2)).await;
         engine.wait_until(|record| record.ran.len() == 2 && record.ran[0].tokens == 1).await;
         assert_eq!(unload(&engine, "rose@v1", 1).await, 409);
@@ -148,7 +148,7 @@
 async fn batch_takes_the_highest_priority_first() {
     let engine = engine(|settings| settings.batch_size = 1);
     engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 0 }).times(1));
-    let _held = generate(&engine, &generate_order("base", 0, 1)).await;
+    let _running = generate(&engine, &generate_order("base", 0, 1)).await;
     engine.wait_until(|record| record.count(Outcome::Running) == 1).await;
     engine.server().add_rule(Rule::new(Fault::StallStreams { tokens: 0 }));
     let mut waiting = Vec::new();
--- a/kingcupbay_standin/tests/fault.rs
+++ b/kingcupbay_standin/tests/fault.rs
@@ -184,8 +184,8 @@
     let address = table.server().address();
     let read = serde_json::json!({"keys": []});
     let pooled = client();
-    let ask = || pooled.post(format!("http://{address}/read")).send_json(&read);
-    assert_eq!(ask().await.unwrap().status(), 200);
+    let send_read = || pooled.post(format!("http://{address}/read")).send_json(&read);
+    assert_eq!(send_read().await.unwrap().status(), 200);
     let id = control.add_rule(Rule::new(Fault::Refuse)).await.unwrap();
     control.freeze().await.unwrap();
     while table.server().connections() > 1 {
@@ -193,7 +193,7 @@
     }
     for _ in 0..3 {
         assert!(matches!(
-            ask().await,
+            send_read().await,
             Err(SendRequestError::Connect(_) | SendRequestError::Send(_))
         ));
     }
@@ -203,7 +203,7 @@
     while TcpStream::connect(address).is_err() {
         actix_rt::task::yield_now().await;
     }
-    assert_eq!(ask().await.unwrap().status(), 200);
+    assert_eq!(send_read().await.unwrap().status(), 200);
     assert_eq!(table.record().reads, 2);
 }
 
