--- a/kingcupbay_bench/src/capacity/router.rs
+++ b/kingcupbay_bench/src/capacity/router.rs
@@ -88,7 +88,7 @@
     let upstreams = upstreams(adapters);
     let config = config(upstreams);
     let mut router = router(&config, adapters);
-    let taken = median_cpu_micros(|| router.on_config(&config));
+    let config_micros = median_cpu_micros(|| router.on_config(&config));
     let bases: Vec<Name> = (0..BASE_MODELS).map(base).collect();
     let now = |round: u32| Instant::from_micros(u64::from(round) * 8_000);
     // A prime stride spreads the draws, so that no processor cache holds them all.
@@ -115,5 +115,5 @@
     let reported = mean_cpu_micros(upstreams, |at| {
         router.on_report(UpstreamId::from_raw(at), &reports[at as usize]);
     });
-    vec![known, any, reported, taken / 1e3]
+    vec![known, any, reported, config_micros / 1e3]
 }
--- a/kingcupbay_bench/src/serve/lru.rs
+++ b/kingcupbay_bench/src/serve/lru.rs
@@ -148,10 +148,10 @@
     }
 
     fn give_up(&mut self, code: Code, ends: impl Fn(&Entry) -> bool) -> Vec<GivenUp> {
-        let (taken, kept): (VecDeque<Entry>, VecDeque<Entry>) =
+        let (removed, kept): (VecDeque<Entry>, VecDeque<Entry>) =
             self.waiting.drain(..).partition(|entry| ends(entry));
         self.waiting = kept;
         let retry_after = Span::from_secs(1);
-        taken.into_iter().map(|entry| GivenUp { entry, code, retry_after }).collect()
+        removed.into_iter().map(|entry| GivenUp { entry, code, retry_after }).collect()
     }
 }
--- a/kingcupbay_core/src/admission/speed.rs
+++ b/kingcupbay_core/src/admission/speed.rs
@@ -3,7 +3,7 @@
 use crate::time::{Instant, Span};
 
 /// Prefill rate before any measurement, in tokens per millisecond. This is the
-/// rate of the users' engines less a tenth for the work done beside prefill.
+/// rate of the users' engines less a tenth for the work other than prefill.
 const INITIAL_TOKENS_PER_MS: f64 = 17.0;
 
 /// Lowest and highest prefill rate accepted as plausible, in tokens per millisecond.
--- a/kingcupbay_core/src/config/model.rs
+++ b/kingcupbay_core/src/config/model.rs
@@ -149,7 +149,7 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Runs beside callers, behind the load balancer.
+    /// Serves callers behind the load balancer.
     Entry,
     /// Runs on the host of an upstream.
     Upstream,
--- a/kingcupbay_core/src/deployment/catalogue.rs
+++ b/kingcupbay_core/src/deployment/catalogue.rs
@@ -158,9 +158,9 @@
     /// Updates which upstreams at `address` count as replaced: all but the one that
     /// started last.
     fn update_replaced(&mut self, address: SocketAddr) {
-        let there = || self.instances.values().filter(|row| row.address == address);
-        let last = there().map(|row| row.born).max().unwrap_or_default();
-        for row in there() {
+        let at_address = || self.instances.values().filter(|row| row.address == address);
+        let last = at_address().map(|row| row.born).max().unwrap_or_default();
+        for row in at_address() {
             match row.born < last {
                 true => self.replaced.insert(row.id.clone()),
                 false => self.replaced.remove(&row.id),
--- a/kingcupbay_core/src/deployment/departures.rs
+++ b/kingcupbay_core/src/deployment/departures.rs
@@ -35,7 +35,7 @@
     from_store: bool,
 }
 
-/// Upstreams that have left lately, by id.
+/// Upstreams that have left recently, by id.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Departures {
     left: BTreeMap<String, Departure>,
--- a/kingcupbay_core/src/health.rs
+++ b/kingcupbay_core/src/health.rs
@@ -1,4 +1,4 @@
-//! Passive health checks: which upstreams have failed lately, judged by their answers.
+//! Passive health checks: which upstreams have failed recently, judged by their answers.
 
 use std::collections::BTreeMap;
 
--- a/kingcupbay_core/src/route/router.rs
+++ b/kingcupbay_core/src/route/router.rs
@@ -21,7 +21,7 @@
 /// Parameters of a [`Router`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Ratio to the mean load above which an upstream is passed over, unless it has
+    /// Ratio to the mean load above which an upstream is skipped, unless it has
     /// free capacity.
     pub load_ratio: f64,
     /// Number of requests allowed in addition to `load_ratio`, as a ratio alone is
--- a/kingcupbay_core/src/standing/mod.rs
+++ b/kingcupbay_core/src/standing/mod.rs
@@ -183,7 +183,7 @@
     /// paused there.
     ///
     /// Only members may act. Otherwise a daemon that was removed, or that was
-    /// paused and replaced, would go on beside its successor.
+    /// paused and replaced, would keep acting alongside its successor.
     pub fn may_act(&self, now: Instant) -> bool {
         self.is_member() && (self.table_is_fresh(now) || self.has_majority(now))
     }
--- a/kingcupbay_core/tests/spec_share.rs
+++ b/kingcupbay_core/tests/spec_share.rs
@@ -480,7 +480,7 @@
     assert!(explore(Fault::DeductLate, exceeds_bound).is_some());
 }
 
-/// The search must find a sender that refills beside the level it sent.
+/// The search must find a sender that refills in addition to the level it sent.
 #[test]
 fn capacity_left_behind_breaks_the_bound() {
     assert!(explore(Fault::KeepCapacity, exceeds_bound).is_some());
--- a/kingcupbay_core/tests/standing.rs
+++ b/kingcupbay_core/tests/standing.rs
@@ -94,15 +94,15 @@
 #[test]
 fn a_majority_keeps_standing_through_a_table_outage_and_a_minority_does_not() {
     let mut standing = one_of_five(7);
-    let mut island = one_of_five(7);
+    let mut isolated = one_of_five(7);
     for second in 10..610 {
         let sent = at(second * 1_000);
         standing.record_confirmation(confirmation(1, 7, 100), sent);
         standing.record_confirmation(confirmation(2, 6, 900), sent);
-        island.record_confirmation(confirmation(3, 7, 0), sent);
+        isolated.record_confirmation(confirmation(3, 7, 0), sent);
         assert!(standing.may_act(sent + Span::from_millis(2_100)));
         assert!(!standing.may_act(sent + Span::from_millis(2_101)));
-        assert!(!island.may_act(sent));
+        assert!(!isolated.may_act(sent));
     }
 }
 
--- a/kingcupbay_soak/src/run.rs
+++ b/kingcupbay_soak/src/run.rs
@@ -95,9 +95,9 @@
         context.fleet.clear_faults()?;
         // Requests sent from here on belong to no round.
         context.round.set(0);
-        let healed = Instant::now();
+        let cleared = Instant::now();
         outcome.breaches.extend(wait_for_recovery(&context, &mut random).await);
-        outcome.recovery = outcome.recovery.max(healed.elapsed());
+        outcome.recovery = outcome.recovery.max(cleared.elapsed());
     }
     context.finished.set(true);
     for caller in callers {
