--- a/kingcupbayd/src/registered/start.rs
+++ b/kingcupbayd/src/registered/start.rs
@@ -170,8 +170,8 @@
 
 async fn handle_entry_peer(gateway: Rc<Gateway>, request: Request) -> Response<BoxBody> {
     match request.path() {
-        TALLY_PATH => tallies::handle(gateway, request).await,
-        PRESSURE_PATH => take_pressure(gateway, request).await,
+        USAGE_PATH => tallies::handle(gateway, request).await,
+        LOAD_REPORT_PATH => take_pressure(gateway, request).await,
         ROWS_PATH => {
             let copies = gateway.node.rows.borrow().copies();
             let body = rmp_serde::to_vec_named(&copies).expect("copies have only plain fields");
@@ -193,9 +193,9 @@
 
 async fn handle_sidecar_peer(sidecar: Rc<Sidecar>, request: Request) -> Response<BoxBody> {
     match request.path() {
-        WANT_PATH => desk::want(sidecar, request).await,
-        DONE_PATH => desk::done(sidecar, request).await,
-        COPY_PATH => desk::copy(sidecar, request).await,
+        PERMIT_PATH => desk::want(sidecar, request).await,
+        RELEASE_PATH => desk::done(sidecar, request).await,
+        REPLICA_PATH => desk::copy(sidecar, request).await,
         _ => http::reply::text(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
