--- a/kingcupbayd/src/gateway/job.rs
+++ b/kingcupbayd/src/gateway/job.rs
@@ -22,8 +22,8 @@
     pub(crate) deployment: Rc<Deployment>,
     pub(crate) route: Rc<Route>,
     /// Whose it is; nobody's where no key is asked for.
-    pub(crate) who: Option<Rc<Organisation>>,
-    pub(crate) ask: RequestMetadata,
+    pub(crate) organisation: Option<Rc<Organisation>>,
+    pub(crate) metadata: RequestMetadata,
     /// Tokens taken off its organisation's limit.
     pub(crate) cost: u64,
     pub(crate) method: Method,
@@ -34,38 +34,38 @@
     pub(crate) body: Bytes,
     pub(crate) arrived: Instant,
     /// When it must have its final answer.
-    pub(crate) until: Instant,
+    pub(crate) deadline: Instant,
 }
 
 impl Job {
     /// Time until its final answer is due.
-    pub(crate) fn left(&self) -> Span {
-        self.until.since(clock::now())
+    pub(crate) fn remaining(&self) -> Span {
+        self.deadline.since(clock::now())
     }
 
     /// Its rank, 0 first: the organisation's goes before the route's.
-    pub(crate) fn rank(&self) -> u8 {
-        let own = self.who.as_ref().and_then(|who| who.priority);
+    pub(crate) fn priority(&self) -> u8 {
+        let own = self.organisation.as_ref().and_then(|organisation| organisation.priority);
         own.unwrap_or(self.route.priority)
     }
 
     /// A number that differs between requests and not between looks at one.
     pub(crate) fn draw(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        self.ask.attempt.hash(&mut hasher);
+        self.metadata.attempt.hash(&mut hasher);
         hasher.finish()
     }
 
     /// Its identity, empty where the caller gave none.
     pub(crate) fn attempt(&self) -> &str {
-        self.ask.attempt.as_deref().unwrap_or_default()
+        self.metadata.attempt.as_deref().unwrap_or_default()
     }
 
     /// Gives its tokens back: it did not run.
-    pub(crate) fn give_back(&self) {
-        if let Some(who) = &self.who {
+    pub(crate) fn refund(&self) {
+        if let Some(organisation) = &self.organisation {
             let now = clock::now();
-            self.gateway.allowance.borrow_mut().refund(now, who, self.cost);
+            self.gateway.allowance.borrow_mut().refund(now, organisation, self.cost);
         }
     }
 }
--- a/kingcupbayd/src/gateway/mod.rs
+++ b/kingcupbayd/src/gateway/mod.rs
@@ -11,7 +11,7 @@
 pub(crate) mod generate;
 pub(crate) mod job;
 pub(crate) mod metrics;
-pub(crate) mod place;
+pub(crate) mod permits;
 pub(crate) mod plain;
 pub(crate) mod reply;
 pub(crate) mod send;
@@ -49,17 +49,17 @@
 use reply::{Refusal, refuse};
 
 /// Longest wait of a caller that names none.
-const DEADLINE: Span = Span::from_secs(30);
+const DEFAULT_DEADLINE: Span = Span::from_secs(30);
 
 /// Time for a body to arrive.
-const BODY_TIME: Span = Span::from_secs(10);
+const BODY_TIMEOUT: Span = Span::from_secs(10);
 
 /// When to come back to an entry that does not know its configuration yet.
-const UNREADY: Span = Span::from_millis(500);
+const UNREADY_RETRY: Span = Span::from_millis(500);
 
 /// When to come back to an entry that has heard of a newer configuration than it
 /// has: by then the store's feed has brought it, or another entry is asked.
-const BEHIND: Span = Span::from_millis(400);
+const BEHIND_RETRY: Span = Span::from_millis(400);
 
 /// State of an entry.
 pub(crate) struct Gateway {
@@ -71,9 +71,9 @@
     /// Sends of each service.
     pub(crate) repeats: RefCell<BTreeMap<String, RepeatBudget>>,
     /// Entries that did not take the last tally.
-    pub(crate) deaf: RefCell<BTreeSet<SocketAddr>>,
+    pub(crate) unreachable: RefCell<BTreeSet<SocketAddr>>,
     pub(crate) catch_up: RefCell<CatchUp>,
-    pub(crate) dones: place::Dones,
+    pub(crate) releases: permits::Releases,
     pub(crate) metrics: Metrics,
 }
 
@@ -87,9 +87,9 @@
             health: RefCell::default(),
             backlog: RefCell::default(),
             repeats: RefCell::default(),
-            deaf: RefCell::default(),
+            unreachable: RefCell::default(),
             catch_up: RefCell::default(),
-            dones: place::Dones::default(),
+            releases: permits::Releases::default(),
             metrics: Metrics::new(node.store.calls()),
             node,
         }
@@ -112,64 +112,64 @@
 
     /// Takes what the daemon beside an engine told. Whether it is known by now
     /// what the engine holds.
-    pub(crate) fn on_pressure(&self, pressure: EngineLoadReport) -> bool {
-        let Some(engine) = pressure.engine else { return true };
-        self.placement.borrow_mut().on_load_report(clock::now(), engine, pressure)
+    pub(crate) fn on_load_report(&self, report: EngineLoadReport) -> bool {
+        let Some(engine) = report.engine else { return true };
+        self.placement.borrow_mut().on_load_report(clock::now(), engine, report)
     }
 }
 
 /// Answers one request of a caller.
 pub(crate) async fn handle(gateway: Rc<Gateway>, mut request: Request) -> Response<BoxBody> {
     let arrived = clock::now();
-    let ask = request::decode_headers(request.headers());
+    let metadata = request::decode_headers(request.headers());
     let Some(deployment) = gateway.node.deployment() else {
         return refuse(
             &gateway,
-            &ask,
-            Refusal::retry(Code::NoStanding, "no configuration", UNREADY),
+            &metadata,
+            Refusal::retry(Code::NoStanding, "no configuration", UNREADY_RETRY),
         );
     };
-    let (route, who) = match admit(&deployment, &request, &ask) {
+    let (route, organisation) = match admit(&deployment, &request, &metadata) {
         Ok(admitted) => admitted,
         Err(refusal) => {
             let refusal = unless_behind(&gateway, &deployment, refusal);
-            warn!(gateway.node.log, ""; "event" => "refused", "request" => &ask.attempt,
+            warn!(gateway.node.log, ""; "event" => "refused", "request" => &metadata.attempt,
                 "code" => refusal.code.as_str(), "configuration" => deployment.number.0,
                 "newest" => gateway.catch_up.borrow().newest().0, "path" => request.path(),
                 "why" => refusal.why);
-            return refuse(&gateway, &ask, refusal);
+            return refuse(&gateway, &metadata, refusal);
         }
     };
     let limits = deployment.limits;
     let payload = request.take_payload();
-    let body = match http::body::read(payload, limits.body, BODY_TIME).await {
+    let body = match http::body::read(payload, limits.body, BODY_TIMEOUT).await {
         Ok(body) => body,
         Err(failure) => {
             let refusal = Refusal::plain(failure.code, "the body");
-            warn!(gateway.node.log, ""; "event" => "refused", "request" => &ask.attempt,
+            warn!(gateway.node.log, ""; "event" => "refused", "request" => &metadata.attempt,
                 "code" => refusal.code.as_str(), "why" => refusal.why,
                 "error" => failure.message);
-            return refuse(&gateway, &ask, refusal);
+            return refuse(&gateway, &metadata, refusal);
         }
     };
-    let wait = ask.deadline.unwrap_or(DEADLINE).min(route.timeout);
-    let cost = who.as_ref().map_or(0, |who| cost(who, &ask));
+    let wait = metadata.deadline.unwrap_or(DEFAULT_DEADLINE).min(route.timeout);
+    let cost = organisation.as_ref().map_or(0, |organisation| cost(organisation, &metadata));
     let job = Rc::new(Job {
         gateway: gateway.clone(),
         deployment,
-        ask,
+        metadata,
         cost,
         body,
         method: request.method().clone(),
         path: path(&request),
         headers: request.headers().clone(),
-        until: arrived + wait,
+        deadline: arrived + wait,
         arrived,
         route,
-        who,
+        organisation,
     });
     if let Err(refusal) = take_tokens(&job) {
-        return refuse(&gateway, &job.ask, refusal);
+        return refuse(&gateway, &job.metadata, refusal);
     }
     serve(job).await
 }
@@ -180,7 +180,7 @@
     let service = job.route.target(draw).to_owned();
     job.gateway.repeats.borrow_mut().entry(service.clone()).or_default().on_first(clock::now());
     let engine = job.deployment.services.get(&service).is_some_and(|row| row.engine.is_some());
-    let answer = match engine && job.ask.model.is_some() {
+    let answer = match engine && job.metadata.model.is_some() {
         true => generate::serve(job.clone(), &service).await,
         false => plain::serve(job.clone(), &service).await,
     };
@@ -188,16 +188,16 @@
         Ok(response) => response,
         Err(refusal) => {
             if refusal.not_run {
-                job.give_back();
+                job.refund();
             }
             let now = clock::now();
-            warn!(job.gateway.node.log, ""; "event" => "failed", "request" => &job.ask.attempt,
+            warn!(job.gateway.node.log, ""; "event" => "failed", "request" => &job.metadata.attempt,
                 "route" => &job.route.name, "service" => &service,
                 "code" => refusal.code.as_str(), "why" => refusal.why,
                 "not_run" => refusal.not_run, "after_ms" => refusal.after.map(Span::as_millis),
                 "configuration" => job.deployment.number.0,
                 "ms" => now.since(job.arrived).as_millis());
-            refuse(&job.gateway, &job.ask, refusal)
+            refuse(&job.gateway, &job.metadata, refusal)
         }
     }
 }
@@ -206,7 +206,7 @@
 fn admit(
     deployment: &Deployment,
     request: &Request,
-    ask: &RequestMetadata,
+    metadata: &RequestMetadata,
 ) -> Result<(Rc<Route>, Option<Rc<Organisation>>), Refusal> {
     let named = request.headers().get("host").and_then(|host| host.to_str().ok());
     let named = named.or_else(|| request.uri().host()).unwrap_or_default();
@@ -214,8 +214,8 @@
     let Some(route) = deployment.route(host, request.path()) else {
         return Err(Refusal::plain(Code::NotFound, "no route"));
     };
-    match deployment.caller(route, ask.key.as_ref()) {
-        Caller::Organisation(who) => Ok((route.clone(), Some(who))),
+    match deployment.caller(route, metadata.key.as_ref()) {
+        Caller::Organisation(organisation) => Ok((route.clone(), Some(organisation))),
         Caller::Anonymous => Ok((route.clone(), None)),
         Caller::Unknown => Err(Refusal::plain(Code::BadKey, "the key is unknown")),
     }
@@ -227,27 +227,29 @@
 /// one, this entry cannot know.
 fn unless_behind(gateway: &Gateway, deployment: &Deployment, refusal: Refusal) -> Refusal {
     match gateway.catch_up.borrow().newest() > deployment.number {
-        true => Refusal::retry(Code::NoStanding, "a newer configuration is on its way", BEHIND),
+        true => {
+            Refusal::retry(Code::NoStanding, "a newer configuration is on its way", BEHIND_RETRY)
+        }
         false => refusal,
     }
 }
 
-fn cost(who: &Organisation, ask: &RequestMetadata) -> u64 {
-    match (who.counts_tokens, ask.size) {
+fn cost(organisation: &Organisation, metadata: &RequestMetadata) -> u64 {
+    match (organisation.counts_tokens, metadata.size) {
         (true, Some(size)) => size.total(),
-        (true, None) => who.plain_cost,
+        (true, None) => organisation.plain_cost,
         (false, _) => 1,
     }
 }
 
 /// Takes the request's tokens off its organisation's limit.
 fn take_tokens(job: &Job) -> Result<(), Refusal> {
-    let Some(who) = &job.who else { return Ok(()) };
+    let Some(organisation) = &job.organisation else { return Ok(()) };
     let now = clock::now();
-    let asked = job.gateway.allowance.borrow_mut().try_acquire(now, who, job.cost);
-    asked.map_err(|over| {
-        info!(job.gateway.node.log, ""; "event" => "over_rate", "request" => &job.ask.attempt,
-            "organisation" => &who.name, "cost" => job.cost, "rate" => who.rate,
+    let acquired = job.gateway.allowance.borrow_mut().try_acquire(now, organisation, job.cost);
+    acquired.map_err(|over| {
+        info!(job.gateway.node.log, ""; "event" => "over_rate", "request" => &job.metadata.attempt,
+            "organisation" => &organisation.name, "cost" => job.cost, "rate" => organisation.rate,
             "after_ms" => over.retry_after.as_millis());
         Refusal::retry(Code::OverRate, "over the rate", over.retry_after)
     })
--- a/kingcupbayd/src/gateway/plain.rs
+++ b/kingcupbayd/src/gateway/plain.rs
@@ -18,7 +18,7 @@
         Gateway,
         job::Job,
         reply::{self, Refusal},
-        send::{self, Extra},
+        send::{self, SendOptions},
     },
     http::link::LinkError,
 };
@@ -26,13 +26,13 @@
 /// An upstream that has not answered within this multiple of the route's aim
 /// is taken for stuck, where the request may go to another. Services answer
 /// within half of their aim; their slowest hundredth takes five times as long.
-const STUCK: u64 = 3;
+const ANSWER_TIME_FACTOR: u64 = 3;
 
 /// When to come back if every upstream was full.
-const FULL: Span = Span::from_millis(300);
+const FULL_RETRY: Span = Span::from_millis(300);
 
 /// When to come back if no upstream could be reached.
-const NONE: Span = Span::from_millis(700);
+const NO_UPSTREAM_RETRY: Span = Span::from_millis(700);
 
 /// How one attempt ended.
 enum Outcome {
@@ -47,19 +47,19 @@
 }
 
 /// Counts a request at an upstream until it is dropped.
-struct Open<'a> {
+struct OpenRequest<'a> {
     gateway: &'a Gateway,
     id: &'a str,
 }
 
-impl<'a> Open<'a> {
-    fn new(gateway: &'a Gateway, id: &'a str) -> Open<'a> {
+impl<'a> OpenRequest<'a> {
+    fn new(gateway: &'a Gateway, id: &'a str) -> OpenRequest<'a> {
         gateway.health.borrow_mut().on_send(id);
-        Open { gateway, id }
+        OpenRequest { gateway, id }
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
         self.gateway.health.borrow_mut().on_end(self.id);
     }
@@ -71,19 +71,19 @@
     let mut sends = 0;
     let mut may_have_run = false;
     let mut failure = None;
-    while job.left() > Span::ZERO {
-        let Some(instance) = pick(&job, service, &tried) else { break };
+    while job.remaining() > Span::ZERO {
+        let Some(instance) = choose(&job, service, &tried) else { break };
         let again = sends > 0;
         if again && (sends >= job.route.attempts || !job.gateway.may_repeat(service)) {
             break;
         }
-        if let Some(after) = behind(&job, &instance).filter(|_| tried.is_empty()) {
+        if let Some(after) = check_backlog(&job, &instance).filter(|_| tried.is_empty()) {
             return Err(Refusal::retry(Code::Overloaded, "upstreams are behind", after));
         }
         tried.push(instance.id.clone());
         let last = sends + 1 >= job.route.attempts;
         let outcome = attempt(&job, &instance, last).await;
-        note(&job, &instance, &outcome);
+        record(&job, &instance, &outcome);
         sends += u32::from(!matches!(outcome, Outcome::Unsent(_)));
         match outcome {
             Outcome::Answer(head, body) if !head.status.is_server_error() => {
@@ -105,42 +105,45 @@
     if let Some((instance, head, body)) = failure {
         return Ok(deliver(&job, &instance, &head, body));
     }
-    Err(give_up(&job, sends, may_have_run))
+    Err(final_refusal(&job, sends, may_have_run))
 }
 
 /// What the caller is told when no upstream answers.
-fn give_up(job: &Job, sends: u32, may_have_run: bool) -> Refusal {
-    match (may_have_run, job.left() == Span::ZERO) {
+fn final_refusal(job: &Job, sends: u32, may_have_run: bool) -> Refusal {
+    match (may_have_run, job.remaining() == Span::ZERO) {
         (true, true) => Refusal::unknown(Code::Deadline, "no answer in time"),
         (true, false) => Refusal::unknown(Code::UpstreamFailed, "the upstream failed"),
-        (false, _) if sends > 0 => Refusal::retry(Code::Overloaded, "upstreams are full", FULL),
-        (false, _) => Refusal::retry(Code::NoUpstream, "no upstream", NONE),
+        (false, _) if sends > 0 => {
+            Refusal::retry(Code::Overloaded, "upstreams are full", FULL_RETRY)
+        }
+        (false, _) => Refusal::retry(Code::NoUpstream, "no upstream", NO_UPSTREAM_RETRY),
     }
 }
 
-fn pick(job: &Job, service: &str, tried: &[String]) -> Option<Rc<Instance>> {
+fn choose(job: &Job, service: &str, tried: &[String]) -> Option<Rc<Instance>> {
     let catalogue = job.gateway.node.catalogue.borrow();
-    let free: Vec<&Rc<Instance>> =
+    let untried: Vec<&Rc<Instance>> =
         catalogue.listed(service).into_iter().filter(|row| !tried.contains(&row.id)).collect();
     let health = job.gateway.health.borrow();
-    let ids = free.iter().map(|row| row.id.as_str());
+    let ids = untried.iter().map(|row| row.id.as_str());
     let id = health.choose(clock::now(), ids, job.draw())?;
-    free.iter().find(|row| row.id == id).map(|row| Rc::clone(row))
+    untried.iter().find(|row| row.id == id).map(|row| Rc::clone(row))
 }
 
 /// When to come back, if the answer of `instance`, the least busy one, would
 /// come late.
-fn behind(job: &Job, instance: &Instance) -> Option<Span> {
+fn check_backlog(job: &Job, instance: &Instance) -> Option<Span> {
     let now = clock::now();
-    let aim = job.route.latency_target.saturating_sub(now.since(job.arrived));
-    job.gateway.backlog.borrow().refuse(now, &instance.id, aim, job.draw())
+    let target = job.route.latency_target.saturating_sub(now.since(job.arrived));
+    job.gateway.backlog.borrow().refuse(now, &instance.id, target, job.draw())
 }
 
 async fn attempt(job: &Job, instance: &Instance, last: bool) -> Outcome {
-    let _open = Open::new(&job.gateway, &instance.id);
-    let mut time = job.left();
+    let _open = OpenRequest::new(&job.gateway, &instance.id);
+    let mut time = job.remaining();
     if job.route.repeat == Repeat::Idempotent && !last {
-        time = time.min(Span::from_micros(job.route.latency_target.as_micros() * STUCK));
+        time =
+            time.min(Span::from_micros(job.route.latency_target.as_micros() * ANSWER_TIME_FACTOR));
     }
     match tokio::time::timeout(time.into(), exchange(job, instance)).await {
         Ok(outcome) => outcome,
@@ -150,27 +153,27 @@
 
 async fn exchange(job: &Job, instance: &Instance) -> Outcome {
     let began = clock::now();
-    let sent = match send::send(job, instance, Extra::default()).await {
-        Ok(sent) => sent,
+    let answer = match send::send(job, instance, SendOptions::default()).await {
+        Ok(answer) => answer,
         Err(error) if error.is_unsent() => return Outcome::Unsent(error),
         Err(error) => return Outcome::Unknown(error),
     };
-    match send::whole_body(job, instance, sent).await {
-        Ok((_, said, _)) if said.not_run => {
-            if let Some(load) = said.load {
+    match send::read_body(job, instance, answer).await {
+        Ok((_, metadata, _)) if metadata.not_run => {
+            if let Some(load) = metadata.load {
                 let mut backlog = job.gateway.backlog.borrow_mut();
                 backlog.on_refusal(clock::now(), &instance.id, load);
             }
             Outcome::NotRun
         }
-        Ok((head, said, body)) => {
-            if let Some(load) = said.load {
+        Ok((head, metadata, body)) => {
+            if let Some(load) = metadata.load {
                 let now = clock::now();
                 let mut backlog = job.gateway.backlog.borrow_mut();
                 backlog.on_answer(now, &instance.id, load, now.since(began));
             }
-            let proper = said.signed && !said.encoded;
-            match proper || !head.status.is_success() {
+            let complete = metadata.signed && !metadata.encoded;
+            match complete || !head.status.is_success() {
                 true => Outcome::Answer(head, body),
                 false => Outcome::Unknown(LinkError::Malformed("no proof".to_owned())),
             }
@@ -180,7 +183,7 @@
 }
 
 /// Remembers and logs how an attempt ended.
-fn note(job: &Job, instance: &Instance, outcome: &Outcome) {
+fn record(job: &Job, instance: &Instance, outcome: &Outcome) {
     let gateway = &job.gateway;
     let (ending, text) = match outcome {
         Outcome::Answer(head, _) if head.status.is_server_error() => (Exchange::Failed, "failure"),
@@ -200,7 +203,7 @@
     if matches!(ending, Exchange::Unreachable) {
         gateway.node.pool.forget(instance.address);
     }
-    warn!(gateway.node.log, ""; "event" => "attempt", "request" => &job.ask.attempt,
+    warn!(gateway.node.log, ""; "event" => "attempt", "request" => &job.metadata.attempt,
         "upstream" => &instance.id, "outcome" => text, "error" => error,
         "ms" => now.since(job.arrived).as_millis());
 }
@@ -208,8 +211,8 @@
 fn deliver(job: &Job, instance: &Instance, head: &ResponseHead, body: Bytes) -> Response<BoxBody> {
     let ms = clock::now().since(job.arrived);
     job.gateway.metrics.on_answer(&job.route.name, head.status.as_u16(), ms);
-    info!(job.gateway.node.log, ""; "event" => "answered", "request" => &job.ask.attempt,
+    info!(job.gateway.node.log, ""; "event" => "answered", "request" => &job.metadata.attempt,
         "route" => &job.route.name, "upstream" => &instance.id,
         "status" => head.status.as_u16(), "ms" => ms.as_millis());
-    reply::whole(&job.gateway, head.status, &head.headers, body)
+    reply::complete(&job.gateway, head.status, &head.headers, body)
 }
--- a/kingcupbayd/src/gateway/reply.rs
+++ b/kingcupbayd/src/gateway/reply.rs
@@ -58,13 +58,13 @@
 /// The answer for a refusal.
 pub(crate) fn refuse(
     gateway: &Gateway,
-    ask: &RequestMetadata,
+    metadata: &RequestMetadata,
     refusal: Refusal,
 ) -> Response<BoxBody> {
     gateway.metrics.on_refusal(refusal.code);
     let mut builder = ResponseBuilder::new(refusal.status());
     builder.insert_header((header::CONTENT_TYPE, "application/json"));
-    if let Some(attempt) = &ask.attempt {
+    if let Some(attempt) = &metadata.attempt {
         builder.insert_header((request::ATTEMPT_ID, attempt.as_str()));
     }
     if let Some(after) = refusal.after {
@@ -76,7 +76,7 @@
 }
 
 /// An upstream's whole answer, unchanged.
-pub(crate) fn whole(
+pub(crate) fn complete(
     gateway: &Gateway,
     status: StatusCode,
     headers: &header::HeaderMap,
--- a/kingcupbayd/src/gateway/send.rs
+++ b/kingcupbayd/src/gateway/send.rs
@@ -18,25 +18,25 @@
 
 /// Answers on one connection that belong to other requests before it is
 /// given up.
-const CROSSED_MAX: u32 = 3;
+const MISROUTED_MAX: u32 = 3;
 
 /// Longest answer of a plain service.
-const BODY_MAX: usize = 8 << 20;
+const BODY_MAX_BYTES: usize = 8 << 20;
 
 /// Time by which an upstream hears of the deadline sooner than the entry acts
 /// on it: it then still has its own answer on the way.
-const MARGIN: Span = Span::from_millis(5);
+const DEADLINE_MARGIN: Span = Span::from_millis(5);
 
 /// The head of an upstream's answer, and the connection with its body.
-pub(crate) struct Sent {
+pub(crate) struct PendingAnswer {
     pub(crate) link: Link,
     pub(crate) head: ResponseHead,
-    pub(crate) said: AnswerMetadata,
+    pub(crate) metadata: AnswerMetadata,
 }
 
 /// What an attempt is given besides the caller's request.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Extra {
+pub(crate) struct SendOptions {
     /// The only version of the adapter that may run it.
     pub(crate) version: Option<u32>,
     pub(crate) priority: Option<u8>,
@@ -45,26 +45,30 @@
 }
 
 /// Sends the request of `job` to `instance` and reads the head of the answer.
-pub(crate) async fn send(job: &Job, instance: &Instance, extra: Extra) -> Result<Sent, LinkError> {
+pub(crate) async fn send(
+    job: &Job,
+    instance: &Instance,
+    options: SendOptions,
+) -> Result<PendingAnswer, LinkError> {
     let pool = &job.gateway.node.pool;
     let mut link = pool.get(instance.address).await?;
-    let given = UpstreamRequestMetadata {
-        remaining: job.left().saturating_sub(MARGIN).max(Span::from_millis(1)),
+    let request_metadata = UpstreamRequestMetadata {
+        remaining: job.remaining().saturating_sub(DEADLINE_MARGIN).max(Span::from_millis(1)),
         instance: &instance.id,
-        organisation: job.who.as_ref().map(|who| who.name.as_str()),
-        version: extra.version,
-        priority: extra.priority,
-        last_event: extra.last_event,
+        organisation: job.organisation.as_ref().map(|organisation| organisation.name.as_str()),
+        version: options.version,
+        priority: options.priority,
+        last_event: options.last_event,
     };
-    let headers = request::encode_headers(&job.headers, &given);
+    let headers = request::encode_headers(&job.headers, &request_metadata);
     let mut head = link.exchange(job.method.clone(), &job.path, headers, &job.body).await?;
-    for _ in 0..CROSSED_MAX {
-        let said = answer::decode_headers(head.status.as_u16(), &head.headers);
-        if is_own(job, &said) {
-            return Ok(Sent { link, head, said });
+    for _ in 0..MISROUTED_MAX {
+        let metadata = answer::decode_headers(head.status.as_u16(), &head.headers);
+        if is_own(job, &metadata) {
+            return Ok(PendingAnswer { link, head, metadata });
         }
         warn!(job.gateway.node.log, ""; "event" => "crossed_answer",
-            "request" => &job.ask.attempt, "theirs" => &said.attempt,
+            "request" => &job.metadata.attempt, "theirs" => &metadata.attempt,
             "upstream" => &instance.id, "status" => head.status.as_u16());
         pool.forget(instance.address);
         head = link.next_head().await?;
@@ -74,33 +78,33 @@
 
 /// An answer is the request's own only if it names it. What never ran may
 /// come without a name.
-fn is_own(job: &Job, said: &AnswerMetadata) -> bool {
-    match &said.attempt {
-        Some(attempt) => Some(attempt) == job.ask.attempt.as_ref(),
-        None => said.not_run || job.ask.attempt.is_none(),
+fn is_own(job: &Job, metadata: &AnswerMetadata) -> bool {
+    match &metadata.attempt {
+        Some(attempt) => Some(attempt) == job.metadata.attempt.as_ref(),
+        None => metadata.not_run || job.metadata.attempt.is_none(),
     }
 }
 
 /// Reads a whole body and keeps the connection if it can be used again.
-pub(crate) async fn whole_body(
+pub(crate) async fn read_body(
     job: &Job,
     instance: &Instance,
-    mut sent: Sent,
+    mut answer: PendingAnswer,
 ) -> Result<(ResponseHead, AnswerMetadata, Bytes), LinkError> {
     let mut body = BytesMut::new();
-    while let Some(chunk) = sent.link.chunk().await? {
-        if body.len() + chunk.len() > BODY_MAX {
+    while let Some(chunk) = answer.link.chunk().await? {
+        if body.len() + chunk.len() > BODY_MAX_BYTES {
             return Err(LinkError::Malformed("the answer is too long".to_owned()));
         }
         body.extend_from_slice(&chunk);
     }
     let pool = &job.gateway.node.pool;
-    pool.put(instance.address, sent.link, sent.said.idle);
+    pool.put(instance.address, answer.link, answer.metadata.idle);
     let id = &instance.id;
-    if let Some(load) = sent.said.load {
+    if let Some(load) = answer.metadata.load {
         let now = clock::now();
         let busy = load.running + load.waiting;
         job.gateway.health.borrow_mut().on_load(now, id, busy);
     }
-    Ok((sent.head, sent.said, body.freeze()))
+    Ok((answer.head, answer.metadata, body.freeze()))
 }
--- a/kingcupbayd/src/gateway/stream.rs
+++ b/kingcupbayd/src/gateway/stream.rs
@@ -21,7 +21,7 @@
     gateway::{
         generate::{self, Started, Tried},
         job::Job,
-        place::Place,
+        permits::Permit,
         reply,
     },
     http::link::{Link, LinkError},
@@ -30,7 +30,7 @@
 /// Silence in the middle of a stream after which an engine counts as stuck.
 /// Engines make an event each 30 ms; a request that was put back when memory
 /// ran out is read anew within a second.
-const STUCK: Span = Span::from_millis(1_500);
+const EVENT_TIMEOUT: Span = Span::from_millis(1_500);
 
 /// A stream on its way to its caller.
 pub(crate) struct Relay {
@@ -41,13 +41,13 @@
     /// Invariant: there until the stream has ended.
     link: Option<Link>,
     /// Given back with the relay, also when the caller leaves.
-    place: Option<Place>,
+    permit: Option<Permit>,
     idle: Option<Span>,
     /// Bytes of an event that is not whole yet.
     partial: BytesMut,
     /// Id of the last event that the caller was given, and when.
     last_event: Option<u64>,
-    passed: Instant,
+    forwarded: Instant,
     /// Longest time between two events.
     pause: Span,
     /// Whether the body is a series of events.
@@ -63,8 +63,8 @@
         started: Started,
         tried: Tried,
     ) -> Response<BoxBody> {
-        let Started { instance, sent, place } = started;
-        let head = sent.head;
+        let Started { instance, answer, permit } = started;
+        let head = answer.head;
         let kind = head.headers.get(header::CONTENT_TYPE).and_then(|kind| kind.to_str().ok());
         let events = head.status.is_success()
             && kind.is_some_and(|kind| kind.starts_with("text/event-stream"));
@@ -72,23 +72,23 @@
         let length = length.and_then(|length| length.to_str().ok()?.parse::<u64>().ok());
         let mut builder = reply::head(&job.gateway, head.status, &head.headers);
         let relay = Relay {
-            last_event: job.ask.last_event,
-            passed: clock::now(),
+            last_event: job.metadata.last_event,
+            forwarded: clock::now(),
             pause: Span::ZERO,
-            idle: sent.said.idle,
+            idle: answer.metadata.idle,
             partial: BytesMut::new(),
             ended: false,
-            link: Some(sent.link),
+            link: Some(answer.link),
             job,
             service,
             tried,
             instance,
-            place,
+            permit,
             events,
         };
         let stream = stream::unfold(relay, |mut relay| async {
-            let part = relay.next().await?;
-            Some((part, relay))
+            let bytes = relay.next().await?;
+            Some((bytes, relay))
         });
         let stream = Box::pin(stream);
         match length {
@@ -105,7 +105,7 @@
         }
         loop {
             let error = match self.read().await {
-                Ok(Some(chunk)) => match self.pass(chunk) {
+                Ok(Some(chunk)) => match self.take_whole_events(chunk) {
                     Some(bytes) => return Some(Ok(bytes)),
                     None => continue,
                 },
@@ -117,20 +117,20 @@
                 Ok(None) => LinkError::Early,
                 Err(error) => error,
             };
-            if let Err(error) = self.go_on(error).await {
+            if let Err(error) = self.resume(error).await {
                 self.ended = true;
-                self.place = None;
+                self.permit = None;
                 return Some(Err(io::Error::other(error)));
             }
         }
     }
 
     async fn read(&mut self) -> Result<Option<Bytes>, LinkError> {
-        let left = self.job.left();
-        if left == Span::ZERO {
+        let remaining = self.job.remaining();
+        if remaining == Span::ZERO {
             return Err(LinkError::Silent);
         }
-        let time = if self.may_resume() { left.min(STUCK) } else { left };
+        let time = if self.may_resume() { remaining.min(EVENT_TIMEOUT) } else { remaining };
         let link = self.link.as_mut().expect("there until the stream has ended");
         match tokio::time::timeout(time.into(), link.chunk()).await {
             Ok(chunk) => chunk,
@@ -141,7 +141,7 @@
     /// What of `chunk` may be given to the caller: whole events only, as an
     /// engine may break off in the middle of one, and another goes on after
     /// the last whole one.
-    fn pass(&mut self, chunk: Bytes) -> Option<Bytes> {
+    fn take_whole_events(&mut self, chunk: Bytes) -> Option<Bytes> {
         if !self.events {
             return Some(chunk);
         }
@@ -157,8 +157,8 @@
             self.last_event = Some(id);
         }
         let now = clock::now();
-        self.pause = self.pause.max(now.since(self.passed));
-        self.passed = now;
+        self.pause = self.pause.max(now.since(self.forwarded));
+        self.forwarded = now;
         Some(whole)
     }
 
@@ -169,36 +169,36 @@
     }
 
     /// The engine broke off: another one goes on after the last whole event.
-    async fn go_on(&mut self, error: LinkError) -> Result<(), LinkError> {
+    async fn resume(&mut self, error: LinkError) -> Result<(), LinkError> {
         let now = clock::now();
         let gateway = self.job.gateway.clone();
-        let left = self.job.left();
-        let ending = match error {
-            LinkError::Silent if left > Span::ZERO => Exchange::Unreachable,
+        let remaining = self.job.remaining();
+        let exchange = match error {
+            LinkError::Silent if remaining > Span::ZERO => Exchange::Unreachable,
             _ => Exchange::Failed,
         };
-        gateway.health.borrow_mut().on_exchange(now, &self.instance.id, ending);
-        warn!(gateway.node.log, ""; "event" => "broke_off", "request" => &self.job.ask.attempt,
+        gateway.health.borrow_mut().on_exchange(now, &self.instance.id, exchange);
+        warn!(gateway.node.log, ""; "event" => "broke_off", "request" => &self.job.metadata.attempt,
             "upstream" => &self.instance.id, "last_event" => self.last_event,
-            "error" => %error, "left_ms" => left.as_millis());
-        if !self.may_resume() || left == Span::ZERO {
+            "error" => %error, "left_ms" => remaining.as_millis());
+        if !self.may_resume() || remaining == Span::ZERO {
             gateway.metrics.on_broken(&self.job.route.name);
             return Err(error);
         }
-        self.place = None;
+        self.permit = None;
         self.partial.clear();
         let started =
             generate::start(&self.job, &self.service, &mut self.tried, self.last_event).await;
         match started {
-            Ok(Started { instance, sent, place }) if sent.head.status.is_success() => {
+            Ok(Started { instance, answer, permit }) if answer.head.status.is_success() => {
                 gateway.metrics.on_resumed();
                 info!(gateway.node.log, ""; "event" => "resumed",
-                    "request" => &self.job.ask.attempt, "upstream" => &instance.id,
+                    "request" => &self.job.metadata.attempt, "upstream" => &instance.id,
                     "last_event" => self.last_event);
                 self.instance = instance;
-                self.link = Some(sent.link);
-                self.idle = sent.said.idle;
-                self.place = place;
+                self.link = Some(answer.link);
+                self.idle = answer.metadata.idle;
+                self.permit = permit;
                 Ok(())
             }
             _ => {
@@ -215,16 +215,16 @@
         let now = clock::now();
         gateway.health.borrow_mut().on_exchange(now, &self.instance.id, Exchange::Succeeded);
         gateway.metrics.on_stream(&self.job.route.name, self.pause);
-        info!(gateway.node.log, ""; "event" => "streamed", "request" => &self.job.ask.attempt,
+        info!(gateway.node.log, ""; "event" => "streamed", "request" => &self.job.metadata.attempt,
             "upstream" => &self.instance.id, "last_event" => self.last_event,
             "pause_ms" => self.pause.as_millis(),
             "ms" => now.since(self.job.arrived).as_millis());
         // The pause in which another engine took over says nothing of this one.
         let alone = self.tried.sends <= 1;
-        if let Some(place) = self.place.as_mut().filter(|_| alone) {
-            place.on_whole(self.pause);
+        if let Some(permit) = self.permit.as_mut().filter(|_| alone) {
+            permit.on_complete(self.pause);
         }
-        self.place = None;
+        self.permit = None;
         if let Some(link) = self.link.take() {
             gateway.node.pool.put(self.instance.address, link, self.idle);
         }
@@ -240,7 +240,7 @@
         }
         let ms = clock::now().since(self.job.arrived).as_millis();
         info!(self.job.gateway.node.log, ""; "event" => "left",
-            "request" => &self.job.ask.attempt, "upstream" => &self.instance.id,
+            "request" => &self.job.metadata.attempt, "upstream" => &self.instance.id,
             "last_event" => self.last_event, "ms" => ms);
     }
 }
--- a/kingcupbayd/src/registered/follow.rs
+++ b/kingcupbayd/src/registered/follow.rs
@@ -19,19 +19,19 @@
 
 use crate::{
     clock,
-    registered::{Node, copies, members::ENTRIES, store::StoreError},
+    registered::{Node, members::ENTRY_TABLE, rows, store::StoreError},
 };
 
-fn name(table: Table) -> &'static str {
+fn table_name(table: Table) -> &'static str {
     match table {
         Table::Operator => OPERATOR_TABLE,
         Table::Upstreams => UPSTREAM_TABLE,
-        Table::Entries => ENTRIES,
+        Table::Entries => ENTRY_TABLE,
     }
 }
 
 /// How long a call waits for a first change; `listens` where others tell of some too.
-fn wait(table: Table, role: Role, listens: bool) -> Span {
+fn feed_wait(table: Table, role: Role, listens: bool) -> Span {
     match (table, role) {
         (_, Role::Upstream) => waits::SIDECAR_FEED_WAIT,
         (Table::Operator, Role::Entry) if listens => waits::LISTENER_FEED_WAIT,
@@ -42,7 +42,7 @@
 }
 
 /// Pause after a call that brought changes.
-fn pause(table: Table, role: Role) -> Span {
+fn feed_pause(table: Table, role: Role) -> Span {
     match (table, role) {
         (_, Role::Upstream) => waits::SIDECAR_FEED_PAUSE,
         (Table::Operator, Role::Entry) => waits::OPERATOR_FEED_PAUSE,
@@ -53,40 +53,40 @@
 /// Follows `table` for ever.
 pub(crate) async fn follow(node: Rc<Node>, table: Table) {
     let mut pause = waits::RETRY_PAUSE_MIN;
-    let mut failed = None;
+    let mut failing_since = None;
     loop {
-        let error = match read(&node, table).await {
+        let error = match read_table(&node, table).await {
             Ok((rows, version)) => {
                 if node.fencing.get().is_none() {
                     node.fencing.set(Some(version));
                 }
-                take_all(&node, table, rows, version, failed.is_some());
+                apply_table(&node, table, rows, version, failing_since.is_some());
                 pause = waits::RETRY_PAUSE_MIN;
-                failed = None;
-                on_feed(&node, table).await
+                failing_since = None;
+                follow_feed(&node, table).await
             }
             Err(error) => error,
         };
-        if !matches!(error, StoreError::Forgotten) {
-            let since = *failed.get_or_insert_with(clock::now);
-            warn!(node.log, ""; "event" => "feed_lost", "table" => name(table),
+        if !matches!(error, StoreError::HistoryDropped) {
+            let since = *failing_since.get_or_insert_with(clock::now);
+            warn!(node.log, ""; "event" => "feed_lost", "table" => table_name(table),
                 "error" => %error, "for_ms" => clock::now().since(since).as_millis());
             if table == Table::Operator {
                 node.store_lost();
-                ask_others(&node).await;
+                fetch_from_seeds(&node).await;
             }
             tokio::time::sleep(pause.into()).await;
             pause = Span::from_micros(pause.as_micros() * 2).min(waits::RETRY_PAUSE_MAX);
             if table != Table::Operator {
-                await_store(&node).await;
+                wait_for_store(&node).await;
             }
         }
     }
 }
 
 /// Leaves it to the first feed to find out when the store answers again.
-async fn await_store(node: &Node) {
-    while node.store.away().is_some() {
+async fn wait_for_store(node: &Node) {
+    while node.store.unavailable_since().is_some() {
         tokio::time::sleep(waits::RETRY_PAUSE_MIN.into()).await;
     }
 }
@@ -94,12 +94,12 @@
 /// Every row of a table, with the version of the store from which its feed goes
 /// on: that of the first page. Rows of it may have changed while the others were
 /// read, and the feed tells of those again.
-async fn read(node: &Node, table: Table) -> Result<(Vec<Row>, u64), StoreError> {
+async fn read_table(node: &Node, table: Table) -> Result<(Vec<Row>, u64), StoreError> {
     let mut rows: Vec<Row> = Vec::new();
     let mut oldest = None;
     loop {
         let from = rows.last().map_or(String::new(), |row| row.key.key.clone());
-        let page = node.store.read(name(table), &from).await?;
+        let page = node.store.read(table_name(table), &from).await?;
         let version = *oldest.get_or_insert(page.version);
         let before = rows.len();
         // A page begins with the last row of the one before.
@@ -114,33 +114,33 @@
 }
 
 /// Takes changes until a call fails.
-async fn on_feed(node: &Rc<Node>, table: Table) -> StoreError {
+async fn follow_feed(node: &Rc<Node>, table: Table) -> StoreError {
     let role = node.settings.daemon.role;
     let mut before = false;
     loop {
-        let listens = node.rest(table).is_some();
+        let listens = node.listen_time(table).is_some();
         if listens != std::mem::replace(&mut before, listens) {
-            let known = node.readings.borrow().known(table);
+            let known = node.read_positions.borrow().known(table);
             info!(node.log, ""; "event" => if listens { "listens" } else { "reads" },
-                "table" => name(table), "version" => known);
+                "table" => table_name(table), "version" => known);
         }
         if table != Table::Operator && listens {
-            node.due(table).await;
+            node.read_due(table).await;
             continue;
         }
-        let lost = node.lost.notified();
-        let wait = wait(table, role, listens);
-        let after = node.readings.borrow().known(table);
+        let store_failure = node.store_failure.notified();
+        let wait = feed_wait(table, role, listens);
+        let after = node.read_positions.borrow().known(table);
         let began = clock::now();
-        let feed = node.store.feed(name(table), after, wait);
+        let feed = node.store.feed(table_name(table), after, wait);
         let page = tokio::select! {
             page = feed => page,
             // The store failed another call: this one may hang as well.
-            () = lost, if table != Table::Operator => {
+            () = store_failure, if table != Table::Operator => {
                 return StoreError::Link(crate::http::link::LinkError::Silent);
             }
             // Others know more, or tell no more: the connection may be dead.
-            () = node.due(table), if listens => {
+            () = node.read_due(table), if listens => {
                 node.pool.forget(node.registry.store);
                 continue;
             }
@@ -151,13 +151,13 @@
                 let took = clock::now().since(began);
                 if changed && took >= wait {
                     // Changes end the wait early, unless the feed heard nothing of them.
-                    warn!(node.log, ""; "event" => "feed_deaf", "table" => name(table),
+                    warn!(node.log, ""; "event" => "feed_deaf", "table" => table_name(table),
                         "ms" => took.as_millis(), "rows" => page.rows.len(),
                         "version" => page.version);
                 }
-                take_page(node, table, page);
+                apply_page(node, table, page);
                 if changed {
-                    tokio::time::sleep(pause(table, role).into()).await;
+                    tokio::time::sleep(feed_pause(table, role).into()).await;
                 }
             }
             Err(error) => return error,
@@ -166,54 +166,54 @@
 }
 
 /// Takes an answer of a feed.
-fn take_page(node: &Rc<Node>, table: Table, page: RowPage) {
-    let known = node.readings.borrow().known(table);
+fn apply_page(node: &Rc<Node>, table: Table, page: RowPage) {
+    let known = node.read_positions.borrow().known(table);
     let last = page.rows.last().map(RowChange::version);
     // What does not fit is told by the next call.
     let version = if page.more { last.unwrap_or(known) } else { page.version };
     let now = clock::now();
-    let mut news = Vec::new();
+    let mut reports = Vec::new();
     for change in page.rows {
         // Another entry may have told of it since the call began.
         if change.version() > known {
-            news.extend(take(node, table, change));
+            reports.extend(apply_change(node, table, change));
         }
     }
-    node.readings.borrow_mut().on_page(now, table, version, news);
+    node.read_positions.borrow_mut().on_page(now, table, version, reports);
     if table == Table::Operator
         && let Some(last) = last
     {
-        node.readings.borrow_mut().on_unreported(table, last);
+        node.read_positions.borrow_mut().on_unreported(table, last);
     }
 }
 
 /// While the store is away, others may know more.
-async fn ask_others(node: &Rc<Node>) {
+async fn fetch_from_seeds(node: &Rc<Node>) {
     if node.deployment().is_some() {
         return;
     }
-    let own = node.peers;
+    let own = node.peer_address;
     for &seed in node.registry.seeds.iter().filter(|&&seed| seed != own) {
-        if copies::fetch(node, seed).await && node.deployment().is_some() {
+        if rows::fetch(node, seed).await && node.deployment().is_some() {
             return;
         }
     }
 }
 
 /// Takes a whole table as read.
-fn take_all(node: &Rc<Node>, table: Table, rows: Vec<Row>, version: u64, after_outage: bool) {
+fn apply_table(node: &Rc<Node>, table: Table, rows: Vec<Row>, version: u64, after_outage: bool) {
     let now = clock::now();
     let newest = rows.iter().map(|row| row.version).max().unwrap_or_default();
     match table {
         Table::Operator => {
             for row in rows {
-                take(node, table, RowChange::Put(row));
+                apply_change(node, table, RowChange::Put(row));
             }
         }
         Table::Upstreams => {
             let instances = rows.iter().filter_map(|row| {
-                let read = registration::decode_instance(row);
-                read.inspect_err(|error| unreadable(node, &row.key, error)).ok()
+                let decoded = registration::decode_instance(row);
+                decoded.inspect_err(|error| log_unreadable(node, &row.key, error)).ok()
             });
             let instances: Vec<_> = instances.collect();
             let count = instances.len();
@@ -223,21 +223,21 @@
                 "version" => version, "after_outage" => after_outage,
                 "kept_missing" => kept.join(","));
         }
-        Table::Entries => take_entries(node, &rows, version),
+        Table::Entries => apply_entries(node, &rows, version),
     }
-    let mut readings = node.readings.borrow_mut();
+    let mut read_positions = node.read_positions.borrow_mut();
     match table {
         // Removed rows of the operator change nothing here.
-        Table::Operator => readings.on_list(now, table, version, newest),
-        Table::Upstreams | Table::Entries => readings.on_list(now, table, version, version),
+        Table::Operator => read_positions.on_list(now, table, version, newest),
+        Table::Upstreams | Table::Entries => read_positions.on_list(now, table, version, version),
     }
-    drop(readings);
+    drop(read_positions);
     node.changed.notify_waiters();
 }
 
 /// Takes the list of entries, unless others have told of newer changes already.
-fn take_entries(node: &Node, rows: &[Row], version: u64) {
-    let known = node.readings.borrow().known(Table::Entries);
+fn apply_entries(node: &Node, rows: &[Row], version: u64) {
+    let known = node.read_positions.borrow().known(Table::Entries);
     if version < known {
         info!(node.log, ""; "event" => "entries_outdated", "version" => version,
             "known" => known);
@@ -248,12 +248,12 @@
 }
 
 /// Takes one change. What other entries have to hear of it.
-fn take(node: &Rc<Node>, table: Table, change: RowChange) -> Option<TableChange> {
+fn apply_change(node: &Rc<Node>, table: Table, change: RowChange) -> Option<TableChange> {
     let now = clock::now();
     let version = change.version();
-    let what = match (table, change) {
+    let kind = match (table, change) {
         (Table::Operator, change) => {
-            take_operator(node, change);
+            apply_operator_change(node, change);
             None
         }
         (Table::Upstreams, RowChange::Put(row)) => match registration::decode_instance(&row) {
@@ -262,13 +262,13 @@
                     "address" => %instance.address, "leaving" => instance.leaving,
                     "born" => instance.born, "count" => instance.count,
                     "version" => row.version);
-                let news = node.catalogue.borrow().needs_report(&instance);
-                let told = news.then(|| ChangeKind::Upstream(instance.clone()));
+                let reported = node.catalogue.borrow().needs_report(&instance);
+                let kind = reported.then(|| ChangeKind::Upstream(instance.clone()));
                 node.catalogue.borrow_mut().on_instance(now, instance);
-                told
+                kind
             }
             Err(error) => {
-                unreadable(node, &row.key, &error);
+                log_unreadable(node, &row.key, &error);
                 let id = row.key.key;
                 node.catalogue.borrow_mut().on_instance_gone(now, &id, version);
                 Some(ChangeKind::UpstreamGone(id))
@@ -294,17 +294,17 @@
         }
     };
     node.changed.notify_waiters();
-    what.map(|what| TableChange { version, kind: what })
+    kind.map(|kind| TableChange { version, kind })
 }
 
-fn take_operator(node: &Rc<Node>, change: RowChange) {
+fn apply_operator_change(node: &Rc<Node>, change: RowChange) {
     node.rows.borrow_mut().on_change(&change);
     let RowChange::Put(row) = change else { return };
     on_operator_row(node, &row);
 }
 
 /// Takes a row that another daemon has read.
-pub(crate) fn on_copy(node: &Rc<Node>, row: &Row) {
+pub(crate) fn on_fetched_row(node: &Rc<Node>, row: &Row) {
     node.rows.borrow_mut().on_row(row);
     on_operator_row(node, row);
     node.changed.notify_waiters();
@@ -332,17 +332,17 @@
                 info!(node.log, ""; "event" => "adapter_version", "adapter" => adapter,
                     "version" => version, "taken" => taken);
             }
-            Err(error) => unreadable(node, &row.key, &error),
+            Err(error) => log_unreadable(node, &row.key, &error),
         }
     }
 }
 
 fn member(node: &Node, row: &Row) -> Option<Member> {
-    let read = serde_json::from_slice(&row.value);
-    read.inspect_err(|error| unreadable(node, &row.key, error)).ok()
+    let decoded = serde_json::from_slice(&row.value);
+    decoded.inspect_err(|error| log_unreadable(node, &row.key, error)).ok()
 }
 
-fn unreadable(node: &Node, key: &RowKey, error: &dyn std::fmt::Display) {
+fn log_unreadable(node: &Node, key: &RowKey, error: &dyn std::fmt::Display) {
     warn!(node.log, ""; "event" => "row_unreadable", "table" => &key.table, "key" => &key.key,
         "error" => %error);
 }
@@ -351,11 +351,11 @@
     /// The store failed: feeds that wait there may never be answered.
     fn store_lost(&self) {
         self.pool.forget(self.registry.store);
-        self.lost.notify_waiters();
+        self.store_failure.notify_waiters();
     }
 
     /// Since when nothing has been heard of the store.
-    pub(crate) fn store_away(&self) -> Option<Instant> {
-        self.store.away()
+    pub(crate) fn store_unavailable_since(&self) -> Option<Instant> {
+        self.store.unavailable_since()
     }
 }
--- a/kingcupbayd/src/registered/members.rs
+++ b/kingcupbayd/src/registered/members.rs
@@ -12,22 +12,22 @@
 use crate::registered::Node;
 
 /// Table of the entries.
-pub(crate) const ENTRIES: &str = "entries";
+pub(crate) const ENTRY_TABLE: &str = "entries";
 
 /// Pause between two attempts to register.
-const PAUSE: Span = Span::from_millis(300);
+const RETRY_PAUSE: Span = Span::from_millis(300);
 
 /// Registers this entry, again and again until the store has taken it.
 pub(crate) async fn register(node: Rc<Node>) {
     let member = Member {
         host: node.host().to_owned(),
         role: node.settings.daemon.role,
-        address: node.peers,
+        address: node.peer_address,
         zone: node.settings.daemon.zone.to_string(),
         incarnation: node.incarnation,
     };
     let value = serde_json::to_vec(&member).expect("a member has only strings and numbers");
-    let key = RowKey { table: ENTRIES.to_owned(), key: member.host };
+    let key = RowKey { table: ENTRY_TABLE.to_owned(), key: member.host };
     let txn = Txn { conditions: Vec::new(), writes: vec![(key, Some(value))] };
     loop {
         match node.store.transact(&txn).await {
@@ -39,14 +39,14 @@
             Ok(TxnAnswer::Conflict(_)) => unreachable!("the write has no condition"),
             Err(error) => warn!(node.log, ""; "event" => "register_failed", "error" => %error),
         }
-        tokio::time::sleep(PAUSE.into()).await;
+        tokio::time::sleep(RETRY_PAUSE.into()).await;
     }
 }
 
 /// Registers this entry anew once others have taken it off the list. They do so
 /// after a long silence, and an entry off the list admits nothing that is
 /// limited; without this it would refuse its callers for ever once it is back.
-pub(crate) fn keep_listed(node: &Rc<Node>) {
+pub(crate) fn ensure_listed(node: &Rc<Node>) {
     let listed = node.catalogue.borrow().members().any(|member| member.host == node.host());
     if !listed && node.registered.replace(false) {
         warn!(node.log, ""; "event" => "taken_off_list");
@@ -56,7 +56,7 @@
 
 /// Takes entries off the list that have not been heard for long.
 pub(crate) async fn remove(node: Rc<Node>, host: String) {
-    let key = RowKey { table: ENTRIES.to_owned(), key: host.clone() };
+    let key = RowKey { table: ENTRY_TABLE.to_owned(), key: host.clone() };
     let txn = Txn { conditions: Vec::new(), writes: vec![(key, None)] };
     match node.store.transact(&txn).await {
         Ok(_) => info!(node.log, ""; "event" => "entry_removed", "host" => host),
--- a/kingcupbayd/src/registered/message.rs
+++ b/kingcupbayd/src/registered/message.rs
@@ -9,10 +9,10 @@
 
 /// Longest message: a few thousand attempt ids, or a tally of a thousand
 /// organisations with names of 100 bytes.
-const LONGEST: usize = 256 << 10;
+const MESSAGE_MAX_BYTES: usize = 256 << 10;
 
 /// Time for a message to arrive.
-const TIME: Span = Span::from_millis(500);
+const MESSAGE_TIMEOUT: Span = Span::from_millis(500);
 
 /// Reads a message. One that does not arrive or cannot be read is logged; the error
 /// is the answer to it.
@@ -20,7 +20,7 @@
     log: &Logger,
     request: &mut Request,
 ) -> Result<T, Response<BoxBody>> {
-    let body = http::body::read(request.take_payload(), LONGEST, TIME).await;
+    let body = http::body::read(request.take_payload(), MESSAGE_MAX_BYTES, MESSAGE_TIMEOUT).await;
     let body = body.map_err(|failure| failure.message);
     let message = body.and_then(|body| {
         rmp_serde::from_slice(&body).map_err(|error: rmp_serde::decode::Error| error.to_string())
--- a/kingcupbayd/src/registered/mod.rs
+++ b/kingcupbayd/src/registered/mod.rs
@@ -7,14 +7,14 @@
 //! them what organisations have used; [`message`] reads what daemons tell each other. [`start`] sets up either role:
 //! `gateway` in front of callers, `sidecar` beside an engine.
 
-pub(crate) mod copies;
 pub(crate) mod follow;
-pub(crate) mod listen;
 pub(crate) mod members;
 pub(crate) mod message;
+pub(crate) mod read_positions;
+pub(crate) mod rows;
 pub(crate) mod start;
 pub(crate) mod store;
-pub(crate) mod tallies;
+pub(crate) mod usage;
 
 use std::{
     cell::{Cell, RefCell},
@@ -36,7 +36,7 @@
     server::drain::Drain,
 };
 
-use copies::Rows;
+use rows::Rows;
 use store::Store;
 
 /// What both roles share.
@@ -44,7 +44,7 @@
     pub(crate) settings: Settings,
     pub(crate) registry: Registry,
     /// Where other daemons reach this one.
-    pub(crate) peers: SocketAddr,
+    pub(crate) peer_address: SocketAddr,
     /// Drawn at the start of this process.
     pub(crate) incarnation: u64,
     pub(crate) pool: Pool,
@@ -55,13 +55,13 @@
     pub(crate) registered: Cell<bool>,
     pub(crate) catalogue: RefCell<Catalogue>,
     /// How far each table is known.
-    pub(crate) readings: RefCell<ReadPositions>,
+    pub(crate) read_positions: RefCell<ReadPositions>,
     /// The operator's rows as read, for daemons that cannot read them.
     pub(crate) rows: RefCell<Rows>,
     /// Told whenever the catalogue has changed.
     pub(crate) changed: Notify,
     /// Told whenever the store has failed a call of the first feed.
-    pub(crate) lost: Notify,
+    pub(crate) store_failure: Notify,
     /// Told whenever another entry's reading shows that something is missing here.
     pub(crate) behind: Notify,
     pub(crate) drain: Drain,
@@ -73,7 +73,7 @@
     pub(crate) fn new(
         settings: Settings,
         registry: Registry,
-        peers: SocketAddr,
+        peer_address: SocketAddr,
         log: Logger,
     ) -> Node {
         let mut incarnation = [0; 8];
@@ -85,15 +85,15 @@
             fencing: Cell::default(),
             registered: Cell::default(),
             catalogue: RefCell::default(),
-            readings: RefCell::default(),
+            read_positions: RefCell::default(),
             rows: RefCell::default(),
             changed: Notify::new(),
-            lost: Notify::new(),
+            store_failure: Notify::new(),
             behind: Notify::new(),
             drain: Drain::new(),
             settings,
             registry,
-            peers,
+            peer_address,
             pool,
             log,
         }
--- a/kingcupbayd/src/registered/listen.rs
+++ b/kingcupbayd/src/registered/read_positions.rs
@@ -24,35 +24,35 @@
     }
 
     /// For how long others' readings of `table` save this daemon a call of the store.
-    pub(crate) fn rest(&self, table: Table) -> Option<Span> {
-        let rest = self.readings.borrow().remaining(clock::now(), table)?;
-        (!self.is_reader()).then_some(rest)
+    pub(crate) fn listen_time(&self, table: Table) -> Option<Span> {
+        let listen_time = self.read_positions.borrow().remaining(clock::now(), table)?;
+        (!self.is_reader()).then_some(listen_time)
     }
 
     /// What the next tally tells others of this daemon's own reads. Those of listeners
     /// are not told: at a start they read all, and all at once.
-    pub(crate) fn own_readings(&self, now: Instant) -> BTreeMap<Table, ReadPosition> {
+    pub(crate) fn own_read_positions(&self, now: Instant) -> BTreeMap<Table, ReadPosition> {
         match self.is_reader() {
-            true => self.readings.borrow_mut().report(now),
+            true => self.read_positions.borrow_mut().report(now),
             false => BTreeMap::new(),
         }
     }
 
     /// Ends when this daemon has to read `table` itself.
-    pub(crate) async fn due(&self, table: Table) {
+    pub(crate) async fn read_due(&self, table: Table) {
         loop {
             let behind = self.behind.notified();
-            let Some(rest) = self.rest(table) else { return };
+            let Some(listen_time) = self.listen_time(table) else { return };
             // Whichever ends first, the state is looked at again.
-            let _ = tokio::time::timeout(rest.into(), behind).await;
+            let _ = tokio::time::timeout(listen_time.into(), behind).await;
         }
     }
 
     /// Takes over what another entry has read.
-    pub(crate) fn on_readings(&self, now: Instant, tally: &mut UsageReport) {
-        for (table, reading) in std::mem::take(&mut tally.positions) {
-            let version = reading.version;
-            let taken = self.readings.borrow_mut().on_position(now, table, reading);
+    pub(crate) fn on_read_positions(&self, now: Instant, report: &mut UsageReport) {
+        for (table, position) in std::mem::take(&mut report.positions) {
+            let version = position.version;
+            let taken = self.read_positions.borrow_mut().on_position(now, table, position);
             let Some(changes) = taken else {
                 self.behind.notify_waiters();
                 continue;
@@ -61,14 +61,14 @@
                 continue;
             }
             for change in changes {
-                self.log_told(&change, &tally.host, version);
+                self.log_reported_change(&change, &report.host, version);
                 self.catalogue.borrow_mut().on_reported_change(now, change);
             }
             self.changed.notify_waiters();
         }
     }
 
-    fn log_told(&self, change: &TableChange, peer: &str, read: u64) {
+    fn log_reported_change(&self, change: &TableChange, peer: &str, read: u64) {
         let (event, name) = match &change.kind {
             ChangeKind::Upstream(row) if row.leaving => ("upstream_leaves", &row.id),
             ChangeKind::Upstream(row) => ("upstream", &row.id),
--- a/kingcupbayd/src/registered/copies.rs
+++ b/kingcupbayd/src/registered/rows.rs
@@ -45,14 +45,14 @@
     }
 
     /// All rows, for another daemon.
-    pub(crate) fn copies(&self) -> StoredRows {
-        let copy = |(key, (version, value)): (&RowKey, &(u64, Vec<u8>))| StoredRow {
+    pub(crate) fn stored_rows(&self) -> StoredRows {
+        let stored = |(key, (version, value)): (&RowKey, &(u64, Vec<u8>))| StoredRow {
             table: key.table.clone(),
             key: key.key.clone(),
             version: *version,
             value: Bytes(value.clone()),
         };
-        StoredRows { rows: self.rows.iter().map(copy).collect() }
+        StoredRows { rows: self.rows.iter().map(stored).collect() }
     }
 }
 
@@ -73,19 +73,19 @@
             return false;
         }
     };
-    let copies: StoredRows = match rmp_serde::from_slice(&answer.body) {
-        Ok(copies) => copies,
+    let fetched: StoredRows = match rmp_serde::from_slice(&answer.body) {
+        Ok(fetched) => fetched,
         Err(error) => {
             warn!(node.log, ""; "event" => "copies_malformed", "peer" => %address,
                 "error" => %error);
             return false;
         }
     };
-    let newest = copies.rows.iter().map(|copy| copy.version).max();
+    let newest = fetched.rows.iter().map(|row| row.version).max();
     info!(node.log, ""; "event" => "copies_taken", "peer" => %address,
-        "rows" => copies.rows.len(), "version" => newest);
-    for StoredRow { table, key, version, value: Bytes(value) } in copies.rows {
-        follow::on_copy(node, &Row { key: RowKey { table, key }, value, version });
+        "rows" => fetched.rows.len(), "version" => newest);
+    for StoredRow { table, key, version, value: Bytes(value) } in fetched.rows {
+        follow::on_fetched_row(node, &Row { key: RowKey { table, key }, value, version });
     }
     true
 }
--- a/kingcupbayd/src/registered/start.rs
+++ b/kingcupbayd/src/registered/start.rs
@@ -17,26 +17,26 @@
 
 use crate::{
     config::{Registry, Settings},
-    gateway::{self, Gateway, place},
+    gateway::{self, Gateway, permits},
     http,
-    registered::{Node, follow::follow, members, message, tallies},
+    registered::{Node, follow::follow, members, message, usage},
     server::{
         self,
         drain::{Drain, Phase},
     },
-    sidecar::{Sidecar, desk, engine, tell},
+    sidecar::{self, Sidecar, engine, load_reports},
 };
 
 /// Time for the head of a message of another daemon.
-const HEAD_TIME: Span = Span::from_secs(5);
+const HEAD_TIMEOUT: Span = Span::from_secs(5);
 
 /// How long readiness fails before connections are closed: the balancer asks
 /// each second and looks elsewhere after two answers, so callers come until
 /// then.
-const LEAVING: Span = Span::from_millis(2_200);
+const LEAVING_TIME: Span = Span::from_millis(2_200);
 
 /// Time kept before the end of the grace, for the last bytes.
-const MARGIN: Span = Span::from_millis(250);
+const GRACE_MARGIN: Span = Span::from_millis(250);
 
 /// Listeners of a daemon, bound before anything is told of them.
 struct Listeners {
@@ -73,7 +73,7 @@
         Role::Upstream => start_sidecar(&node, listeners),
     }
     stop.await;
-    finish(&node).await;
+    shut_down(&node).await;
     Ok(())
 }
 
@@ -83,7 +83,7 @@
         actix_rt::spawn(follow(node.clone(), table));
     }
     actix_rt::spawn(members::register(node.clone()));
-    actix_rt::spawn(tallies::send(gateway.clone()));
+    actix_rt::spawn(usage::send_reports(gateway.clone()));
     actix_rt::spawn(update_entries(gateway.clone()));
     if let (Some((listener, _)), Some(callers)) = (listeners.callers, &node.settings.callers) {
         let state = gateway.clone();
@@ -93,13 +93,13 @@
     if let Some((listener, _)) = listeners.ready {
         let state = gateway.clone();
         let handle = move |request| answer_ready(state.clone(), request);
-        listen(listener, HEAD_TIME, Drain::new(), handle);
+        listen(listener, HEAD_TIMEOUT, Drain::new(), handle);
     }
     let state = gateway.clone();
     let handle = move |request| handle_entry_peer(state.clone(), request);
-    listen(listeners.peers.0, HEAD_TIME, Drain::new(), handle);
+    listen(listeners.peers.0, HEAD_TIMEOUT, Drain::new(), handle);
     let handle = move |request| answer_operator(gateway.clone(), request);
-    listen(listeners.operators.0, HEAD_TIME, Drain::new(), handle);
+    listen(listeners.operators.0, HEAD_TIMEOUT, Drain::new(), handle);
 }
 
 fn start_sidecar(node: &Rc<Node>, listeners: Listeners) {
@@ -107,13 +107,13 @@
     let sidecar = Rc::new(Sidecar::new(node.clone(), engine));
     actix_rt::spawn(follow(node.clone(), Table::Operator));
     actix_rt::spawn(engine::watch(sidecar.clone()));
-    actix_rt::spawn(tell::run(sidecar.clone()));
-    actix_rt::spawn(tell::follow(sidecar.clone()));
+    actix_rt::spawn(load_reports::send_reports(sidecar.clone()));
+    actix_rt::spawn(load_reports::follow_catalogue(sidecar.clone()));
     let state = sidecar.clone();
     let handle = move |request| handle_sidecar_peer(state.clone(), request);
-    listen(listeners.peers.0, HEAD_TIME, Drain::new(), handle);
+    listen(listeners.peers.0, HEAD_TIMEOUT, Drain::new(), handle);
     let handle = move |request| answer_sidecar_operator(sidecar.clone(), request);
-    listen(listeners.operators.0, HEAD_TIME, Drain::new(), handle);
+    listen(listeners.operators.0, HEAD_TIMEOUT, Drain::new(), handle);
 }
 
 fn listen<F, Fut>(listener: TcpListener, head: Span, drain: Drain, handle: F)
@@ -125,14 +125,14 @@
 }
 
 /// Stops as planned: readiness fails first, running requests finish.
-async fn finish(node: &Rc<Node>) {
+async fn shut_down(node: &Rc<Node>) {
     let log = &node.log;
     info!(log, ""; "event" => "stopping", "connections" => node.drain.open());
     node.drain.advance(Phase::Leaving);
     if node.settings.daemon.role == Role::Entry {
-        tokio::time::sleep(LEAVING.into()).await;
+        tokio::time::sleep(LEAVING_TIME.into()).await;
         node.drain.advance(Phase::Closing);
-        let limit = node.registry.grace.saturating_sub(LEAVING).saturating_sub(MARGIN);
+        let limit = node.registry.grace.saturating_sub(LEAVING_TIME).saturating_sub(GRACE_MARGIN);
         let whole = tokio::time::timeout(limit.into(), node.drain.idle()).await.is_ok();
         let cut = node.drain.open();
         info!(log, ""; "event" => "stopped", "whole" => whole, "cut" => cut);
@@ -145,17 +145,17 @@
 async fn update_entries(gateway: Rc<Gateway>) {
     loop {
         let changed = gateway.node.changed.notified();
-        take_entries(&gateway);
-        members::keep_listed(&gateway.node);
+        apply_entries(&gateway);
+        members::ensure_listed(&gateway.node);
         changed.await;
     }
 }
 
-fn take_entries(gateway: &Gateway) {
+fn apply_entries(gateway: &Gateway) {
     let catalogue = gateway.node.catalogue.borrow();
     let entries = catalogue.of_role(Role::Entry).map(|member| member.host.as_str());
     gateway.allowance.borrow_mut().on_entries(entries);
-    let known = |id: &str| catalogue.instance(id).is_some() || place::is_sidecar(id);
+    let known = |id: &str| catalogue.instance(id).is_some() || permits::is_sidecar(id);
     gateway.health.borrow_mut().retain(known);
     gateway.backlog.borrow_mut().retain(known);
 }
@@ -170,32 +170,32 @@
 
 async fn handle_entry_peer(gateway: Rc<Gateway>, request: Request) -> Response<BoxBody> {
     match request.path() {
-        USAGE_PATH => tallies::handle(gateway, request).await,
-        LOAD_REPORT_PATH => take_pressure(gateway, request).await,
+        USAGE_PATH => usage::handle(gateway, request).await,
+        LOAD_REPORT_PATH => handle_load_report(gateway, request).await,
         ROWS_PATH => {
-            let copies = gateway.node.rows.borrow().copies();
-            let body = rmp_serde::to_vec_named(&copies).expect("copies have only plain fields");
+            let rows = gateway.node.rows.borrow().stored_rows();
+            let body = rmp_serde::to_vec_named(&rows).expect("stored rows have only plain fields");
             http::reply::bytes("application/msgpack", body.into())
         }
         _ => http::reply::text(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
 
-async fn take_pressure(gateway: Rc<Gateway>, mut request: Request) -> Response<BoxBody> {
-    let pressure = match message::read::<EngineLoadReport>(&gateway.node.log, &mut request).await {
-        Ok(pressure) => pressure,
+async fn handle_load_report(gateway: Rc<Gateway>, mut request: Request) -> Response<BoxBody> {
+    let report = match message::read::<EngineLoadReport>(&gateway.node.log, &mut request).await {
+        Ok(report) => report,
         Err(answer) => return answer,
     };
-    let known = gateway.on_pressure(pressure);
+    let known = gateway.on_load_report(report);
     let status = if known { StatusCode::NO_CONTENT } else { StatusCode::ACCEPTED };
     Response::with_body(status, BoxBody::new(()))
 }
 
 async fn handle_sidecar_peer(sidecar: Rc<Sidecar>, request: Request) -> Response<BoxBody> {
     match request.path() {
-        PERMIT_PATH => desk::want(sidecar, request).await,
-        RELEASE_PATH => desk::done(sidecar, request).await,
-        REPLICA_PATH => desk::copy(sidecar, request).await,
+        PERMIT_PATH => sidecar::permits::handle_permit_request(sidecar, request).await,
+        RELEASE_PATH => sidecar::permits::handle_releases(sidecar, request).await,
+        REPLICA_PATH => sidecar::permits::handle_replica_request(sidecar, request).await,
         _ => http::reply::text(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
@@ -210,8 +210,8 @@
 async fn answer_sidecar_operator(sidecar: Rc<Sidecar>, request: Request) -> Response<BoxBody> {
     match request.path() {
         "/metrics" => {
-            let pressure = sidecar.admission.borrow().load_report();
-            http::reply::text(StatusCode::OK, sidecar.metrics.text(&pressure))
+            let report = sidecar.admission.borrow().load_report();
+            http::reply::text(StatusCode::OK, sidecar.metrics.text(&report))
         }
         "/dump" => http::reply::text(StatusCode::OK, sidecar.admission.borrow().dump()),
         _ => http::reply::text(StatusCode::NOT_FOUND, "no such path\n"),
--- a/kingcupbayd/src/registered/store.rs
+++ b/kingcupbayd/src/registered/store.rs
@@ -34,7 +34,7 @@
     Refused(u16),
     /// The history from which to go on has been dropped.
     #[error("the history is gone")]
-    Forgotten,
+    HistoryDropped,
     /// The answer cannot be read.
     #[error("{0}")]
     Decode(#[from] DecodeError),
@@ -45,7 +45,7 @@
     pool: Pool,
     address: SocketAddr,
     /// Since when no call has been answered.
-    away: Cell<Option<Instant>>,
+    unavailable_since: Cell<Option<Instant>>,
     /// Calls by kind and table.
     calls: IntCounterVec,
     log: Logger,
@@ -54,7 +54,7 @@
 impl Store {
     /// A client of the store at `address`.
     pub(crate) fn new(pool: Pool, address: SocketAddr, log: Logger) -> Store {
-        Store { pool, address, away: Cell::new(None), calls: store_calls(), log }
+        Store { pool, address, unavailable_since: Cell::new(None), calls: store_calls(), log }
     }
 
     /// Calls by kind and table, for the metrics of this daemon.
@@ -63,8 +63,8 @@
     }
 
     /// Since when the store has not answered.
-    pub(crate) fn away(&self) -> Option<Instant> {
-        self.away.get()
+    pub(crate) fn unavailable_since(&self) -> Option<Instant> {
+        self.unavailable_since.get()
     }
 
     /// Rows of `table` from the key `from` on.
@@ -103,26 +103,26 @@
         let result = match answered {
             Ok(answer) => match answer.status {
                 200 | 412 => Ok(answer),
-                410 => Err(StoreError::Forgotten),
+                410 => Err(StoreError::HistoryDropped),
                 status => Err(StoreError::Refused(status)),
             },
             Err(error) => Err(error.into()),
         };
-        self.note(&result);
+        self.log_availability(&result);
         result
     }
 
     /// Logs when the store is lost and when it is back.
-    fn note(&self, result: &Result<Answer, StoreError>) {
+    fn log_availability(&self, result: &Result<Answer, StoreError>) {
         let now = clock::now();
-        match (result, self.away.get()) {
-            (Ok(_) | Err(StoreError::Forgotten), Some(since)) => {
-                self.away.set(None);
-                let away = now.since(since).as_millis();
-                info!(self.log, ""; "event" => "store_back", "away_ms" => away);
+        match (result, self.unavailable_since.get()) {
+            (Ok(_) | Err(StoreError::HistoryDropped), Some(since)) => {
+                self.unavailable_since.set(None);
+                let duration = now.since(since).as_millis();
+                info!(self.log, ""; "event" => "store_back", "away_ms" => duration);
             }
-            (Err(error), None) if !matches!(error, StoreError::Forgotten) => {
-                self.away.set(Some(now));
+            (Err(error), None) if !matches!(error, StoreError::HistoryDropped) => {
+                self.unavailable_since.set(Some(now));
                 warn!(self.log, ""; "event" => "store_lost", "error" => %error);
             }
             _ => {}
--- a/kingcupbayd/src/registered/tallies.rs
+++ b/kingcupbayd/src/registered/usage.rs
@@ -14,22 +14,22 @@
 use crate::{
     clock,
     gateway::Gateway,
-    registered::{Node, copies, members, message},
+    registered::{Node, members, message, rows},
 };
 
 /// Time for a peer's answer; longer, and the next tally says more.
-const ANSWER: Span = Span::from_millis(300);
+const ANSWER_TIMEOUT: Span = Span::from_millis(300);
 
 /// An entry that was silent for this long is taken off the list, and its part
 /// of the limits falls to the others. A restart or a cut is over by then.
-const GONE: Span = Span::from_secs(20);
+const SILENCE_MAX: Span = Span::from_secs(20);
 
 /// Pause between two tries to take the same entries off.
-const REMOVALS: Span = Span::from_secs(5);
+const REMOVAL_PAUSE: Span = Span::from_secs(5);
 
 /// Sends tallies for ever.
-pub(crate) async fn send(gateway: Rc<Gateway>) {
-    let mut removed = clock::now();
+pub(crate) async fn send_reports(gateway: Rc<Gateway>) {
+    let mut last_removal = clock::now();
     loop {
         let period = gateway.allowance.borrow().report_period();
         tokio::time::sleep(period.into()).await;
@@ -40,52 +40,52 @@
         if peers.is_empty() {
             continue;
         }
-        let mut tally = gateway.allowance.borrow_mut().usage_report(now, number);
-        tally.left = gateway.node.catalogue.borrow_mut().departures_to_report(now, tally.whole);
-        tally.positions = gateway.node.own_readings(now);
-        let body = rmp_serde::to_vec(&tally).expect("a tally has only plain fields");
+        let mut report = gateway.allowance.borrow_mut().usage_report(now, number);
+        report.left = gateway.node.catalogue.borrow_mut().departures_to_report(now, report.whole);
+        report.positions = gateway.node.own_read_positions(now);
+        let body = rmp_serde::to_vec(&report).expect("a usage report has only plain fields");
         let body = Bytes::from(body);
         for peer in peers {
-            drop(actix_rt::spawn(tell(gateway.clone(), peer, body.clone())));
+            drop(actix_rt::spawn(send_report(gateway.clone(), peer, body.clone())));
         }
-        if now.since(removed) >= REMOVALS {
-            removed = now;
-            remove_gone(&gateway);
+        if now.since(last_removal) >= REMOVAL_PAUSE {
+            last_removal = now;
+            remove_silent(&gateway);
         }
     }
 }
 
 /// Takes another entry's tally.
 pub(crate) async fn handle(gateway: Rc<Gateway>, mut request: Request) -> Response<BoxBody> {
-    let mut tally = match message::read::<UsageReport>(&gateway.node.log, &mut request).await {
-        Ok(tally) => tally,
+    let mut report = match message::read::<UsageReport>(&gateway.node.log, &mut request).await {
+        Ok(report) => report,
         Err(answer) => return answer,
     };
     let now = clock::now();
-    let from = gateway.node.address_of(&tally.host);
+    let from = gateway.node.address_of(&report.host);
     let number = gateway.node.number();
     // Whoever tells it: one that is not listed here yet has read it all the same.
-    gateway.catch_up.borrow_mut().on_number(tally.number);
+    gateway.catch_up.borrow_mut().on_number(report.number);
     if let Some(address) = from
-        && gateway.catch_up.borrow_mut().begin_fetch(now, number, tally.number)
+        && gateway.catch_up.borrow_mut().begin_fetch(now, number, report.number)
     {
-        info!(gateway.node.log, ""; "event" => "newer_elsewhere", "peer" => &tally.host,
-            "number" => number.0, "theirs" => tally.number.0);
+        info!(gateway.node.log, ""; "event" => "newer_elsewhere", "peer" => &report.host,
+            "number" => number.0, "theirs" => report.number.0);
         drop(actix_rt::spawn(catch_up(gateway.clone(), address)));
     }
-    gateway.node.on_readings(now, &mut tally);
-    take_departures(&gateway.node, now, &tally);
-    let known = gateway.allowance.borrow_mut().on_usage_report(now, tally);
+    gateway.node.on_read_positions(now, &mut report);
+    apply_departures(&gateway.node, now, &report);
+    let known = gateway.allowance.borrow_mut().on_usage_report(now, report);
     let status = if known { StatusCode::NO_CONTENT } else { StatusCode::ACCEPTED };
     Response::with_body(status, BoxBody::new(()))
 }
 
 /// Takes over which upstreams another entry saw leave.
-fn take_departures(node: &Node, now: Instant, tally: &UsageReport) {
-    for (id, &version) in &tally.left {
+fn apply_departures(node: &Node, now: Instant, report: &UsageReport) {
+    for (id, &version) in &report.left {
         if node.catalogue.borrow_mut().on_departure_report(now, id, version) {
             info!(node.log, ""; "event" => "upstream_gone", "id" => id, "why" => "told",
-                "version" => version, "peer" => &tally.host);
+                "version" => version, "peer" => &report.host);
             node.changed.notify_waiters();
         }
     }
@@ -95,7 +95,7 @@
 async fn catch_up(gateway: Rc<Gateway>, from: SocketAddr) {
     let node = &gateway.node;
     let began = clock::now();
-    copies::fetch(node, from).await;
+    rows::fetch(node, from).await;
     let (now, number) = (clock::now(), node.number());
     let mut catch_up = gateway.catch_up.borrow_mut();
     catch_up.on_fetch_end(now, number);
@@ -109,8 +109,9 @@
     others.map(|member| member.address).collect()
 }
 
-async fn tell(gateway: Rc<Gateway>, peer: SocketAddr, body: Bytes) {
-    let called = gateway.node.pool.call(peer, Method::POST, USAGE_PATH, &body, ANSWER).await;
+async fn send_report(gateway: Rc<Gateway>, peer: SocketAddr, body: Bytes) {
+    let called =
+        gateway.node.pool.call(peer, Method::POST, USAGE_PATH, &body, ANSWER_TIMEOUT).await;
     let failed = match &called {
         Ok(answer) => !matches!(answer.status, 202 | 204),
         Err(_) => true,
@@ -119,8 +120,8 @@
         gateway.allowance.borrow_mut().on_full_report_request();
     }
     let changed = match failed {
-        true => gateway.deaf.borrow_mut().insert(peer),
-        false => gateway.deaf.borrow_mut().remove(&peer),
+        true => gateway.unreachable.borrow_mut().insert(peer),
+        false => gateway.unreachable.borrow_mut().remove(&peer),
     };
     if changed && failed {
         let error = called.err().map(|error| error.to_string());
@@ -130,13 +131,13 @@
     }
 }
 
-fn remove_gone(gateway: &Rc<Gateway>) {
-    if gateway.node.store_away().is_some() {
+fn remove_silent(gateway: &Rc<Gateway>) {
+    if gateway.node.store_unavailable_since().is_some() {
         return;
     }
     let now = clock::now();
     let allowance = gateway.allowance.borrow();
-    for host in allowance.silent_since(now, GONE) {
+    for host in allowance.silent_since(now, SILENCE_MAX) {
         drop(actix_rt::spawn(members::remove(gateway.node.clone(), host.to_owned())));
     }
 }
--- a/kingcupbayd/src/sidecar/engine.rs
+++ b/kingcupbayd/src/sidecar/engine.rs
@@ -16,68 +16,68 @@
 use crate::{clock, sidecar::Sidecar};
 
 /// Time for a report. The engine is on the same host and answers at once.
-const REPORT: Span = Span::from_millis(400);
+const REPORT_TIMEOUT: Span = Span::from_millis(400);
 
 /// Time for the reply to an order.
-const ORDER: Span = Span::from_millis(800);
+const ORDER_TIMEOUT: Span = Span::from_millis(800);
 
 /// Reports in a row that did not come before the engine counts as gone.
-const MISSES: u32 = 2;
+const MISSED_REPORTS_MAX: u32 = 2;
 
 /// Asks for reports for ever, as often as they are of use.
 pub(crate) async fn watch(sidecar: Rc<Sidecar>) {
     let mut misses = 0;
     loop {
-        match report(&sidecar).await {
+        match fetch_report(&sidecar).await {
             Ok(()) => {
-                if misses >= MISSES {
+                if misses >= MISSED_REPORTS_MAX {
                     info!(sidecar.node.log, ""; "event" => "engine_back");
                 }
                 misses = 0;
             }
             Err(error) => {
                 misses += 1;
-                if misses == MISSES {
+                if misses == MISSED_REPORTS_MAX {
                     warn!(sidecar.node.log, ""; "event" => "engine_lost", "error" => error);
                     let actions = sidecar.admission.borrow_mut().on_report_failure(clock::now());
                     sidecar.perform(actions);
                 }
             }
         }
-        let asked = clock::now();
+        let requested = clock::now();
         loop {
             let wait = sidecar.admission.borrow().report_interval();
-            let passed = clock::now().since(asked);
+            let passed = clock::now().since(requested);
             if passed >= wait {
                 break;
             }
             // A new request may want the next report sooner.
-            let rest = wait.saturating_sub(passed);
+            let remaining = wait.saturating_sub(passed);
             tokio::select! {
-                () = tokio::time::sleep(rest.into()) => {}
+                () = tokio::time::sleep(remaining.into()) => {}
                 () = sidecar.wake.notified() => {}
             }
         }
     }
 }
 
-async fn report(sidecar: &Rc<Sidecar>) -> Result<(), String> {
+async fn fetch_report(sidecar: &Rc<Sidecar>) -> Result<(), String> {
     let call = platform::encode_report_request();
     let pool = &sidecar.node.pool;
-    let called = pool.call(sidecar.engine, Method::GET, &call.path, &[], REPORT).await;
+    let called = pool.call(sidecar.engine, Method::GET, &call.path, &[], REPORT_TIMEOUT).await;
     let answer = called.map_err(|error| error.to_string())?;
     if answer.status != 200 {
         return Err(format!("status {}", answer.status));
     }
     let report = platform::decode_report(&answer.body).map_err(|error| error.to_string())?;
-    note_report(sidecar, &report);
+    log_report(sidecar, &report);
     let actions = sidecar.admission.borrow_mut().on_report(clock::now(), report);
     sidecar.perform(actions);
     Ok(())
 }
 
 /// Logs what an order has changed; reports in between only repeat it.
-fn note_report(sidecar: &Sidecar, report: &Report) {
+fn log_report(sidecar: &Sidecar, report: &Report) {
     if report.orders == sidecar.orders.replace(report.orders) {
         return;
     }
@@ -92,10 +92,11 @@
 }
 
 /// Gives the engine an order.
-pub(crate) async fn order(sidecar: Rc<Sidecar>, order: Order) {
+pub(crate) async fn send_order(sidecar: Rc<Sidecar>, order: Order) {
     let call = platform::encode_order(&order);
     let pool = &sidecar.node.pool;
-    let called = pool.call(sidecar.engine, Method::POST, &call.path, &call.body, ORDER).await;
+    let called =
+        pool.call(sidecar.engine, Method::POST, &call.path, &call.body, ORDER_TIMEOUT).await;
     let reply = match &called {
         Ok(answer) => platform::decode_order_status(answer.status),
         Err(_) => Reply::Unknown,
--- a/kingcupbayd/src/sidecar/tell.rs
+++ b/kingcupbayd/src/sidecar/load_reports.rs
@@ -13,39 +13,47 @@
 use crate::{clock, sidecar::Sidecar};
 
 /// Period of the messages; an entry's own sends since the last one count too.
-const PERIOD: Span = Span::from_millis(250);
+const REPORT_PERIOD: Span = Span::from_millis(250);
 
 /// Time for an entry's answer.
-const ANSWER: Span = Span::from_millis(300);
+const ANSWER_TIMEOUT: Span = Span::from_millis(300);
 
 /// An entry that asked for no place for this long is told nothing.
-const QUIET: Span = Span::from_secs(20);
+const ENTRY_IDLE_MAX: Span = Span::from_secs(20);
 
 /// Tells entries for ever.
-pub(crate) async fn run(sidecar: Rc<Sidecar>) {
+pub(crate) async fn send_reports(sidecar: Rc<Sidecar>) {
     loop {
-        tokio::time::sleep(PERIOD.into()).await;
+        tokio::time::sleep(REPORT_PERIOD.into()).await;
         let now = clock::now();
         let actions = sidecar.admission.borrow_mut().on_tick(now);
         sidecar.perform(actions);
-        sidecar.entries.borrow_mut().retain(|_, entry| now.since(entry.asked) < QUIET);
-        let mut pressure = sidecar.admission.borrow().load_report();
-        pressure.engine = Some(sidecar.engine);
+        sidecar
+            .entries
+            .borrow_mut()
+            .retain(|_, entry| now.since(entry.last_request) < ENTRY_IDLE_MAX);
+        let mut load_report = sidecar.admission.borrow().load_report();
+        load_report.engine = Some(sidecar.engine);
         for (&address, entry) in sidecar.entries.borrow_mut().iter_mut() {
-            if let Some(news) = entry.told.next(now, &pressure) {
-                drop(actix_rt::spawn(tell(sidecar.clone(), address, now, news)));
+            if let Some(report) = entry.reporter.next(now, &load_report) {
+                drop(actix_rt::spawn(send_report(sidecar.clone(), address, now, report)));
             }
         }
     }
 }
 
-async fn tell(sidecar: Rc<Sidecar>, entry: SocketAddr, at: Instant, news: EngineLoadReport) {
+async fn send_report(
+    sidecar: Rc<Sidecar>,
+    entry: SocketAddr,
+    at: Instant,
+    report: EngineLoadReport,
+) {
     let pool = &sidecar.node.pool;
-    let body = rmp_serde::to_vec(&news).expect("a pressure has only plain fields");
-    let called = pool.call(entry, Method::POST, LOAD_REPORT_PATH, &body, ANSWER).await;
-    let known = called.as_ref().is_ok_and(|answer| answer.status == 204);
+    let body = rmp_serde::to_vec(&report).expect("a load report has only plain fields");
+    let called = pool.call(entry, Method::POST, LOAD_REPORT_PATH, &body, ANSWER_TIMEOUT).await;
+    let acknowledged = called.as_ref().is_ok_and(|answer| answer.status == 204);
     if let Some(entry) = sidecar.entries.borrow_mut().get_mut(&entry) {
-        entry.told.on_answer(at, known);
+        entry.reporter.on_answer(at, acknowledged);
     }
     if let Err(error) = called {
         // The next message says more; an entry that is gone asks no more.
@@ -55,11 +63,11 @@
 }
 
 /// Takes over what is declared of the engine, whenever that changes.
-pub(crate) async fn follow(sidecar: Rc<Sidecar>) {
+pub(crate) async fn follow_catalogue(sidecar: Rc<Sidecar>) {
     let node = &sidecar.node;
     loop {
         let changed = node.changed.notified();
-        take(&sidecar);
+        apply_catalogue(&sidecar);
         // An engine that came back empty waits for just this.
         let actions = sidecar.admission.borrow_mut().on_tick(clock::now());
         sidecar.perform(actions);
@@ -67,7 +75,7 @@
     }
 }
 
-fn take(sidecar: &Rc<Sidecar>) {
+fn apply_catalogue(sidecar: &Rc<Sidecar>) {
     let node = &sidecar.node;
     let mut admission = sidecar.admission.borrow_mut();
     let catalogue = node.catalogue.borrow();
--- a/kingcupbayd/src/sidecar/mod.rs
+++ b/kingcupbayd/src/sidecar/mod.rs
@@ -6,10 +6,10 @@
 //! [`tell`] lets entries know how busy it is; [`metrics`] counts. All decisions
 //! are `kingcupbay_core::admission`'s.
 
-pub(crate) mod desk;
 pub(crate) mod engine;
+pub(crate) mod load_reports;
 pub(crate) mod metrics;
-pub(crate) mod tell;
+pub(crate) mod permits;
 
 use std::{
     cell::{Cell, RefCell},
@@ -44,16 +44,16 @@
     /// Wakes the loop that asks for reports.
     pub(crate) wake: Notify,
     /// Entries that asked for places lately.
-    pub(crate) entries: RefCell<BTreeMap<SocketAddr, Asking>>,
+    pub(crate) entries: RefCell<BTreeMap<SocketAddr, EntryState>>,
     pub(crate) metrics: Metrics,
 }
 
 /// An entry that asks for places.
 #[derive(Debug, Default)]
-pub(crate) struct Asking {
+pub(crate) struct EntryState {
     /// When it last did.
-    pub(crate) asked: Instant,
-    pub(crate) told: LoadReporter,
+    pub(crate) last_request: Instant,
+    pub(crate) reporter: LoadReporter,
 }
 
 impl Sidecar {
@@ -87,7 +87,7 @@
                     info!(self.node.log, ""; "event" => "order", "model" => &order.name.model,
                         "adapter" => &order.name.adapter, "target" => ?order.target,
                         "after" => order.after, "fencing" => order.fencing);
-                    drop(actix_rt::spawn(engine::order(self.clone(), order)));
+                    drop(actix_rt::spawn(engine::send_order(self.clone(), order)));
                 }
             }
         }
--- a/kingcupbayd/src/sidecar/desk.rs
+++ b/kingcupbayd/src/sidecar/permits.rs
@@ -15,15 +15,15 @@
 use crate::{clock, http, registered::message, server::drain::Phase, sidecar::Sidecar};
 
 /// When to come back to a daemon that stops; its successor is there soon.
-const STOPPING: Span = Span::from_secs(1);
+const STOPPING_RETRY: Span = Span::from_secs(1);
 
 /// A request that waits; its drop takes it out of the queue.
-struct Waiting {
+struct QueuedRequest {
     sidecar: Rc<Sidecar>,
     ticket: Ticket,
 }
 
-impl Drop for Waiting {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         // Answered tickets are gone already, and only then is there nothing
         // to cancel.
@@ -35,29 +35,32 @@
 }
 
 /// Answers when there is a place, or none in time.
-pub(crate) async fn want(sidecar: Rc<Sidecar>, mut request: Request) -> Response<BoxBody> {
-    let want = match message::read::<PermitRequest>(&sidecar.node.log, &mut request).await {
-        Ok(want) => want,
+pub(crate) async fn handle_permit_request(
+    sidecar: Rc<Sidecar>,
+    mut request: Request,
+) -> Response<BoxBody> {
+    let permit = match message::read::<PermitRequest>(&sidecar.node.log, &mut request).await {
+        Ok(permit) => permit,
         Err(answer) => return answer,
     };
     let now = clock::now();
-    sidecar.entries.borrow_mut().entry(want.entry).or_default().asked = now;
+    sidecar.entries.borrow_mut().entry(permit.entry).or_default().last_request = now;
     if sidecar.node.drain.phase() != Phase::Serving {
-        let verdict = Verdict::Refused { why: Refusal::Unready, after: STOPPING };
+        let verdict = Verdict::Refused { why: Refusal::Unready, after: STOPPING_RETRY };
         return answer(&verdict);
     }
     let ticket = Ticket(sidecar.tickets.get() + 1);
     sidecar.tickets.set(ticket.0);
     let (sender, receiver) = oneshot::channel();
     sidecar.answers.borrow_mut().insert(ticket, sender);
-    let waiting = Waiting { sidecar: sidecar.clone(), ticket };
-    let (attempt, name) = (want.attempt.clone(), want.name.adapter.clone());
-    let actions = sidecar.admission.borrow_mut().on_permit_request(now, ticket, want);
+    let queued = QueuedRequest { sidecar: sidecar.clone(), ticket };
+    let (attempt, name) = (permit.attempt.clone(), permit.name.adapter.clone());
+    let actions = sidecar.admission.borrow_mut().on_permit_request(now, ticket, permit);
     sidecar.perform(actions);
     sidecar.wake.notify_one();
     let verdict =
-        receiver.await.unwrap_or(Verdict::Refused { why: Refusal::Unready, after: STOPPING });
-    drop(waiting);
+        receiver.await.unwrap_or(Verdict::Refused { why: Refusal::Unready, after: STOPPING_RETRY });
+    drop(queued);
     let waited = clock::now().since(now);
     sidecar.metrics.on_verdict(&verdict, waited);
     let waited = waited.as_millis();
@@ -73,13 +76,17 @@
 }
 
 /// Takes places back.
-pub(crate) async fn done(sidecar: Rc<Sidecar>, mut request: Request) -> Response<BoxBody> {
-    let dones = match message::read::<Vec<PermitRelease>>(&sidecar.node.log, &mut request).await {
-        Ok(dones) => dones,
+pub(crate) async fn handle_releases(
+    sidecar: Rc<Sidecar>,
+    mut request: Request,
+) -> Response<BoxBody> {
+    let releases = match message::read::<Vec<PermitRelease>>(&sidecar.node.log, &mut request).await
+    {
+        Ok(releases) => releases,
         Err(answer) => return answer,
     };
     let now = clock::now();
-    for PermitRelease { attempt, pause } in dones {
+    for PermitRelease { attempt, pause } in releases {
         if let Some(pause) = pause {
             sidecar.admission.borrow_mut().on_stream_complete(&attempt, pause);
         }
@@ -90,7 +97,10 @@
 }
 
 /// Has an adapter loaded whose other engines are busy.
-pub(crate) async fn copy(sidecar: Rc<Sidecar>, mut request: Request) -> Response<BoxBody> {
+pub(crate) async fn handle_replica_request(
+    sidecar: Rc<Sidecar>,
+    mut request: Request,
+) -> Response<BoxBody> {
     let name = match message::read::<AdapterName>(&sidecar.node.log, &mut request).await {
         Ok(name) => name,
         Err(answer) => return answer,
