--- a/kingcupbayd/src/gateway/generate.rs
+++ b/kingcupbayd/src/gateway/generate.rs
@@ -1,4 +1,4 @@
-//! Requests of model engines.
+//! Forwards requests to model engines.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -26,51 +26,52 @@
     http::link::LinkError,
 };
 
-/// Engines that are asked for a place before a request is refused. Those that
-/// come first have the shortest queues; the fourth would refuse as well.
+/// Largest number of engines that are asked for a permit before a request is refused.
+/// Engines with the shortest queues are asked first; a further one would refuse as well.
 const PERMIT_REQUESTS_MAX: usize = 4;
 
-/// How long a request waits for its place, as a multiple of its aim. A caller
-/// leaves after four times the aim without an event; reading its prompt and
-/// making the first event take part of the rest.
+/// Maximum wait for a permit, as a multiple of the latency target. A caller leaves after
+/// four times the target without an event, and prefill and the first event take part of
+/// the rest.
 const PERMIT_WAIT_FACTOR: u64 = 2;
 
-/// A request that has waited this long for a place in vain has no time left
-/// to wait at another engine, which would only load its adapter for nobody.
+/// Time spent waiting for permits in vain after which no further engine is tried. The
+/// request has no time left to wait there, so the engine would load its adapter for
+/// nothing.
 const FAILED_WAIT_MAX: Span = Span::from_millis(500);
 
-/// Least wait for a place that is worth asking for.
+/// Shortest maximum wait for which a permit is requested.
 const PERMIT_WAIT_MIN: Span = Span::from_millis(60);
 
-/// An engine with a place for a request makes its first event within this
-/// multiple of the aim, or is taken for stuck where the stream may go on
-/// elsewhere.
+/// Time within which an engine that has granted a permit must send the first event of a
+/// resumable stream, as a multiple of the latency target. After that, the engine is
+/// considered stuck.
 const FIRST_EVENT_FACTOR: u64 = 2;
 
-/// When to come back if no engine could be reached.
+/// Time after which to retry if no engine could be reached.
 const NO_ENGINE_RETRY: Span = Span::from_millis(700);
 
 /// An engine that runs a request.
 pub(crate) struct Started {
     pub(crate) instance: Rc<Instance>,
     pub(crate) answer: PendingAnswer,
-    /// Given back when the stream ends; none where the daemon beside the
-    /// engine could not be asked.
+    /// Permit, released when the stream ends. `None` if the engine's sidecar could not
+    /// be reached.
     pub(crate) permit: Option<Permit>,
 }
 
-/// What was tried for a request so far.
+/// The attempts at running a request so far.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Tried {
-    /// Engines that have it no more.
+    /// Engines that are not tried again.
     pub(crate) engines: Vec<SocketAddr>,
-    /// Engines that it was sent to.
+    /// Number of engines that the request was sent to.
     pub(crate) sends: u32,
-    /// Engines that may have run it.
+    /// Whether an engine may have run the request.
     pub(crate) may_have_run: bool,
 }
 
-/// Has an engine of `service` run a request, and passes its stream on.
+/// Runs a request on an engine of `service` and forwards its stream.
 pub(crate) async fn serve(job: Rc<Job>, service: &str) -> Result<Response<BoxBody>, Refusal> {
     let mut tried = Tried::default();
     let started = start(&job, service, &mut tried, job.metadata.last_event).await?;
@@ -83,8 +84,8 @@
     Ok(Relay::response(job, service.to_owned(), started, tried))
 }
 
-/// Finds an engine that runs the request, after event `last_event` of its
-/// stream if it has begun.
+/// Finds an engine that runs the request. A stream that has begun resumes after the
+/// event `last_event`.
 pub(crate) async fn start(
     job: &Job,
     service: &str,
@@ -133,14 +134,14 @@
     Err(final_refusal(job, tried, after))
 }
 
-/// Whether the request may be sent to one more engine.
+/// Returns whether the request may be sent to one more engine.
 fn may_send(job: &Job, service: &str, tried: &Tried) -> bool {
     let again = tried.sends > 0;
     !again || (tried.sends < job.route.attempts && job.gateway.may_repeat(service))
 }
 
-/// What the caller is told when no engine runs the request; `after` is when one
-/// may have a place.
+/// Returns the refusal of a request that no engine runs. `after` is the time until an
+/// engine may have a permit.
 fn final_refusal(job: &Job, tried: &Tried, after: Option<Span>) -> Refusal {
     match (tried.may_have_run, job.remaining() == Span::ZERO, after) {
         (true, true, _) => Refusal::unknown(Code::Deadline, "no answer in time"),
@@ -150,7 +151,7 @@
     }
 }
 
-/// The engine to try next.
+/// Returns the engine to try next.
 fn choose(
     job: &Job,
     service: &str,
@@ -181,9 +182,10 @@
     untried.into_iter().find(|row| row.address == engine).cloned()
 }
 
-/// Gets a place at an engine. Where the daemon beside it does not answer, the
-/// engine may be used without one if it is known to hold the adapter. An error
-/// says when there may be a place, if that is known.
+/// Acquires a permit for an engine. Returns it with the version of the adapter that may
+/// run the request. If the sidecar does not answer, the engine is used without a permit,
+/// provided that the adapter is known to be resident. An error is the time until a
+/// permit may be available, if known.
 async fn acquire_permit(
     job: &Job,
     instance: &Instance,
@@ -224,8 +226,8 @@
     }
 }
 
-/// Sends the request and waits for the head of the answer, which comes with
-/// the first event.
+/// Sends the request and waits for the head of the answer, which arrives with the first
+/// event.
 async fn run(
     job: &Job,
     instance: &Instance,
@@ -242,7 +244,7 @@
     }
 }
 
-/// The engine refused the request as not run.
+/// Records that the engine refused the request without running it.
 async fn on_not_run(job: &Job, instance: &Instance, answer: PendingAnswer) {
     let status = answer.head.status.as_u16();
     job.gateway.metrics.on_send("not_run");
@@ -253,7 +255,7 @@
     }
 }
 
-/// An attempt failed.
+/// Records a failed attempt.
 fn on_error(job: &Job, instance: &Instance, error: &LinkError) {
     let now = clock::now();
     let unreachable = matches!(error, LinkError::Unsent(_) | LinkError::Silent);
--- a/kingcupbayd/src/gateway/job.rs
+++ b/kingcupbayd/src/gateway/job.rs
@@ -1,4 +1,4 @@
-//! A request that was admitted.
+//! An admitted request.
 
 use std::{
     hash::{DefaultHasher, Hash, Hasher},
@@ -15,13 +15,13 @@
 
 use crate::{clock, gateway::Gateway};
 
-/// Everything that sending a request needs.
+/// An admitted request, with everything needed to forward it.
 pub(crate) struct Job {
     pub(crate) gateway: Rc<Gateway>,
-    /// The configuration that it was admitted under.
+    /// Configuration under which it was admitted.
     pub(crate) deployment: Rc<Deployment>,
     pub(crate) route: Rc<Route>,
-    /// Whose it is; nobody's where no key is asked for.
+    /// Its organisation. `None` if the route needs no key.
     pub(crate) organisation: Option<Rc<Organisation>>,
     pub(crate) metadata: RequestMetadata,
     /// Tokens taken off its organisation's limit.
@@ -29,39 +29,40 @@
     pub(crate) method: Method,
     /// Path and query.
     pub(crate) path: String,
-    /// As the caller sent them.
+    /// Headers as sent by the caller.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) arrived: Instant,
-    /// When it must have its final answer.
+    /// Time by which the final answer is due.
     pub(crate) deadline: Instant,
 }
 
 impl Job {
-    /// Time until its final answer is due.
+    /// Returns the time left until the deadline.
     pub(crate) fn remaining(&self) -> Span {
         self.deadline.since(clock::now())
     }
 
-    /// Its rank, 0 first: the organisation's goes before the route's.
+    /// Returns the priority, 0 being the highest. The organisation's overrides the
+    /// route's.
     pub(crate) fn priority(&self) -> u8 {
         let own = self.organisation.as_ref().and_then(|organisation| organisation.priority);
         own.unwrap_or(self.route.priority)
     }
 
-    /// A number that differs between requests and not between looks at one.
+    /// Returns a pseudorandom number that is the same for each call on one request.
     pub(crate) fn draw(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.metadata.attempt.hash(&mut hasher);
         hasher.finish()
     }
 
-    /// Its identity, empty where the caller gave none.
+    /// Returns the attempt id, empty if the caller set none.
     pub(crate) fn attempt(&self) -> &str {
         self.metadata.attempt.as_deref().unwrap_or_default()
     }
 
-    /// Gives its tokens back: it did not run.
+    /// Returns its tokens to the organisation's limit, as it did not run.
     pub(crate) fn refund(&self) {
         if let Some(organisation) = &self.organisation {
             let now = clock::now();
--- a/kingcupbayd/src/gateway/metrics.rs
+++ b/kingcupbayd/src/gateway/metrics.rs
@@ -5,7 +5,7 @@
 
 use crate::metrics::{GAP, LATENCY, counter, counters, histograms, text};
 
-/// Every metric of an entry.
+/// Metrics of an entry.
 pub(crate) struct Metrics {
     registry: Registry,
     answers: IntCounterVec,
@@ -19,7 +19,7 @@
 }
 
 impl Metrics {
-    /// Metrics at zero, and those that count `calls` of the store.
+    /// Creates the metrics at zero and adds `calls`, the counter of store calls.
     pub(crate) fn new(calls: &IntCounterVec) -> Metrics {
         let registry = Registry::new();
         let calls = Box::new(calls.clone());
@@ -78,38 +78,44 @@
         }
     }
 
+    /// Counts an upstream's complete answer, which took `took`.
     pub(crate) fn on_answer(&self, route: &str, status: u16, took: Span) {
         self.answers.with_label_values(&[route, &status.to_string()]).inc();
         self.latency.with_label_values(&[route]).observe(took.as_secs_f64());
     }
 
+    /// Records the time from a request's arrival to the first event of its stream.
     pub(crate) fn on_first_event(&self, route: &str, took: Span) {
         self.first_event.with_label_values(&[route]).observe(took.as_secs_f64());
     }
 
-    /// A stream came whole; the longest time between two of its events.
+    /// Counts a complete stream. `pause` is the longest time between two of its events.
     pub(crate) fn on_stream(&self, route: &str, pause: Span) {
         self.answers.with_label_values(&[route, "200"]).inc();
         self.gap.with_label_values(&[route]).observe(pause.as_secs_f64());
     }
 
+    /// Counts a stream that was resumed at another engine.
     pub(crate) fn on_resumed(&self) {
         self.resumed.inc();
     }
 
+    /// Counts a stream that ended early.
     pub(crate) fn on_broken(&self, route: &str) {
         self.broken.with_label_values(&[route]).inc();
     }
 
+    /// Counts a refused request.
     pub(crate) fn on_refusal(&self, code: Code) {
         self.refusals.with_label_values(&[code.as_str()]).inc();
     }
 
+    /// Counts an attempt at an upstream.
     pub(crate) fn on_send(&self, outcome: &str) {
         self.sends.with_label_values(&[outcome]).inc();
     }
 
-    /// All metrics in Prometheus's text format.
+    /// Returns all metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> String {
         text(&self.registry)
     }
--- a/kingcupbayd/src/gateway/mod.rs
+++ b/kingcupbayd/src/gateway/mod.rs
@@ -1,12 +1,11 @@
-//! The entry of a registered fleet: from a caller's request to an upstream's
-//! answer.
+//! Entry of a registered fleet: forwards callers' requests to upstreams.
 //!
-//! [`handle`] finds the route and whose key a request carries, reads its body
-//! and takes its tokens off the organisation's limit. [`plain`] sends it to a
-//! plain service, [`generate`] to an engine, after the daemon beside that
-//! engine has given it a place ([`place`]). [`send`] makes one attempt, and
-//! [`stream`] passes events on and goes on elsewhere when an engine breaks off.
-//! [`reply`] makes the answers that are the entry's own.
+//! [`handle`] finds the route and the organisation of a request, reads its body and
+//! takes its tokens off the organisation's limit. [`plain`] sends the request to a plain
+//! service; [`generate`] sends it to an engine, once the engine's sidecar has granted a
+//! permit ([`permits`]). [`send`] makes one attempt, and [`stream`] forwards events and
+//! resumes the stream at another engine if one fails. [`reply`] builds the entry's own
+//! answers.
 
 pub(crate) mod generate;
 pub(crate) mod job;
@@ -48,17 +47,17 @@
 use metrics::Metrics;
 use reply::{Refusal, refuse};
 
-/// Longest wait of a caller that names none.
+/// Longest wait for an answer if the caller sets no deadline.
 const DEFAULT_DEADLINE: Span = Span::from_secs(30);
 
-/// Time for a body to arrive.
+/// Timeout of reading a request's body.
 const BODY_TIMEOUT: Span = Span::from_secs(10);
 
-/// When to come back to an entry that does not know its configuration yet.
+/// Time after which to retry at an entry that has no configuration yet.
 const UNREADY_RETRY: Span = Span::from_millis(500);
 
-/// When to come back to an entry that has heard of a newer configuration than it
-/// has: by then the store's feed has brought it, or another entry is asked.
+/// Time after which to retry at an entry that knows of a newer configuration than its
+/// own. By then the store's feed has delivered it, or the caller reaches another entry.
 const BEHIND_RETRY: Span = Span::from_millis(400);
 
 /// State of an entry.
@@ -68,9 +67,9 @@
     pub(crate) placement: RefCell<Placement>,
     pub(crate) health: RefCell<Health>,
     pub(crate) backlog: RefCell<Backlog>,
-    /// Sends of each service.
+    /// Budget for resending requests, by service.
     pub(crate) repeats: RefCell<BTreeMap<String, RepeatBudget>>,
-    /// Entries that did not take the last tally.
+    /// Entries that did not accept the last usage report.
     pub(crate) unreachable: RefCell<BTreeSet<SocketAddr>>,
     pub(crate) catch_up: RefCell<CatchUp>,
     pub(crate) releases: permits::Releases,
@@ -78,7 +77,7 @@
 }
 
 impl Gateway {
-    /// An entry that has served nothing yet.
+    /// Creates the state of an entry that has served nothing yet.
     pub(crate) fn new(node: Rc<Node>) -> Gateway {
         let allowance = Allowance::new(node.host(), node.incarnation, clock::now());
         Gateway {
@@ -95,14 +94,15 @@
         }
     }
 
-    /// Whether callers may be sent here.
+    /// Returns whether callers may send requests to this entry.
     pub(crate) fn ready(&self) -> bool {
         let catalogue = self.node.catalogue.borrow();
         let known = catalogue.deployment().is_some() && catalogue.instances().next().is_some();
         known && self.node.drain.phase() == Phase::Serving
     }
 
-    /// Whether a request of `service` may be sent to one more upstream.
+    /// Returns whether a request of `service` may be sent to one more upstream, and
+    /// counts it if so.
     pub(crate) fn may_repeat(&self, service: &str) -> bool {
         let entries = self.allowance.borrow().entries();
         let mut repeats = self.repeats.borrow_mut();
@@ -110,8 +110,8 @@
         repeats.try_repeat(clock::now(), &self.node.registry.repeats, entries)
     }
 
-    /// Takes what the daemon beside an engine told. Whether it is known by now
-    /// what the engine holds.
+    /// Applies a load report from an engine's sidecar. Returns whether the engine's
+    /// resident adapters are known by now.
     pub(crate) fn on_load_report(&self, report: EngineLoadReport) -> bool {
         let Some(engine) = report.engine else { return true };
         self.placement.borrow_mut().on_load_report(clock::now(), engine, report)
@@ -174,7 +174,7 @@
     serve(job).await
 }
 
-/// Sends an admitted request on.
+/// Forwards an admitted request and answers it.
 async fn serve(job: Rc<Job>) -> Response<BoxBody> {
     let draw = job.draw();
     let service = job.route.target(draw).to_owned();
@@ -202,7 +202,7 @@
     }
 }
 
-/// The route of a request and whose it is.
+/// Returns the route of a request, and its organisation unless it is anonymous.
 fn admit(
     deployment: &Deployment,
     request: &Request,
@@ -221,10 +221,9 @@
     }
 }
 
-/// What a caller is told whose route or key is not in `deployment`. One that has just
-/// been given either would be told that there is none, and never ask again, by an entry
-/// that the newer configuration has not reached. While others are known to have a newer
-/// one, this entry cannot know.
+/// Replaces `refusal`, of a request whose route or key is not in `deployment`, by one to
+/// retry if other entries have a newer configuration. That one may hold the route or the
+/// key, and a caller that is told that there is none would not retry.
 fn unless_behind(gateway: &Gateway, deployment: &Deployment, refusal: Refusal) -> Refusal {
     match gateway.catch_up.borrow().newest() > deployment.number {
         true => {
@@ -234,6 +233,7 @@
     }
 }
 
+/// Returns the number of tokens, or requests, that a request counts as.
 fn cost(organisation: &Organisation, metadata: &RequestMetadata) -> u64 {
     match (organisation.counts_tokens, metadata.size) {
         (true, Some(size)) => size.total(),
@@ -255,7 +255,7 @@
     })
 }
 
-/// Path and query as the caller sent them.
+/// Returns the path and query as sent by the caller.
 fn path(request: &Request) -> String {
     let uri = request.uri();
     uri.path_and_query().map_or_else(|| uri.path().to_owned(), |path| path.as_str().to_owned())
--- a/kingcupbayd/src/gateway/permits.rs
+++ b/kingcupbayd/src/gateway/permits.rs
@@ -1,5 +1,4 @@
-//! Places at engines: asking the daemon beside an engine for one, and giving
-//! it back.
+//! Requests permits from engines' sidecars and releases them.
 
 use std::{
     cell::{Cell, RefCell},
@@ -25,26 +24,28 @@
     gateway::{Gateway, job::Job},
 };
 
-/// Time that a message between two daemons takes at most, beside what it
-/// waits for: within a region a round trip takes 2 ms.
+/// Timeout of a message to another daemon, in addition to a permit request's own wait. A
+/// round trip within a region takes 2 ms.
 const MESSAGE_TIMEOUT: Span = Span::from_millis(250);
 
-/// How long ended requests are collected before they are told. A place that
-/// comes back this much later costs an engine with 48 places nothing.
+/// Time for which releases are collected before they are sent. For an engine with 48
+/// permits this delay costs nothing.
 const COLLECT_DELAY: Span = Span::from_millis(4);
 
-/// Tries to tell of ended requests; afterwards the engine's own reports do.
+/// Attempts to send releases. If all fail, the sidecar learns from the engine's reports
+/// that the requests have ended.
 const RELEASE_ATTEMPTS: u32 = 2;
 
-/// Ended requests to tell of, by the daemon that gave the place.
+/// Releases that have not been sent yet, by sidecar.
 #[derive(Default)]
 pub(crate) struct Releases {
     pending: RefCell<BTreeMap<SocketAddr, Vec<PermitRelease>>>,
     collecting: Cell<bool>,
 }
 
-/// A place at an engine; its drop gives it back. It is made before the place
-/// is asked for, as the answer may be lost after the place was given.
+/// A permit for one request on an engine, released on drop. It is created before the
+/// request for it is sent, because the answer may be lost after the sidecar has granted
+/// the permit.
 pub(crate) struct Permit {
     gateway: Rc<Gateway>,
     sidecar: SocketAddr,
@@ -52,7 +53,8 @@
 }
 
 impl Permit {
-    /// The stream came whole, with `pause` as the longest between two events.
+    /// Records that the stream completed, with `pause` as the longest time between two
+    /// events.
     pub(crate) fn on_complete(&mut self, pause: Span) {
         self.release.pause = Some(pause);
     }
@@ -70,27 +72,26 @@
     }
 }
 
-/// Address of the daemon beside `engine`: on its host, where all daemons take
-/// messages.
+/// Returns the address of the sidecar of `engine`: it runs on the same host, and all
+/// sidecars listen on the same port.
 pub(crate) fn sidecar_address(gateway: &Gateway, engine: SocketAddr) -> SocketAddr {
     SocketAddr::new(engine.ip(), gateway.node.registry.sidecars)
 }
 
-/// What the names of daemons beside engines begin with; no upstream's id has
-/// a space.
+/// Prefix of sidecars' ids. No upstream's id contains a space.
 const SIDECAR_PREFIX: &str = "beside ";
 
-/// Name under which the daemon beside `engine` is judged.
+/// Returns the id under which the health of the sidecar of `engine` is tracked.
 pub(crate) fn sidecar_id(engine: SocketAddr) -> String {
     format!("{SIDECAR_PREFIX}{engine}")
 }
 
-/// Whether `id` names a daemon beside an engine, not an upstream.
+/// Returns whether `id` is the id of a sidecar and not of an upstream.
 pub(crate) fn is_sidecar(id: &str) -> bool {
     id.starts_with(SIDECAR_PREFIX)
 }
 
-/// Asks for a place at `engine`. `None`: the daemon there does not answer.
+/// Requests a permit for `engine`. Returns `None` if the sidecar does not answer.
 pub(crate) async fn request_permit(
     job: &Job,
     engine: SocketAddr,
@@ -142,7 +143,7 @@
     }
 }
 
-/// Asks for a copy of `name` at `engine`.
+/// Requests a replica of `name` on `engine`.
 pub(crate) async fn request_replica(gateway: Rc<Gateway>, engine: SocketAddr, name: AdapterName) {
     let body = rmp_serde::to_vec_named(&name).expect("a name has only plain fields");
     let sidecar = sidecar_address(&gateway, engine);
@@ -157,7 +158,7 @@
         "sidecar" => %sidecar, "error" => error);
 }
 
-/// Tells of ended requests what was collected.
+/// Sends the releases collected within `COLLECT_DELAY`.
 async fn send_releases(gateway: Rc<Gateway>) {
     tokio::time::sleep(COLLECT_DELAY.into()).await;
     gateway.releases.collecting.set(false);
@@ -167,6 +168,7 @@
     }
 }
 
+/// Sends releases to one sidecar.
 async fn send_releases_to(gateway: Rc<Gateway>, sidecar: SocketAddr, releases: Vec<PermitRelease>) {
     let body = rmp_serde::to_vec(&releases).expect("a release has only plain fields");
     for _ in 0..RELEASE_ATTEMPTS {
--- a/kingcupbayd/src/gateway/plain.rs
+++ b/kingcupbayd/src/gateway/plain.rs
@@ -1,4 +1,4 @@
-//! Requests of plain services.
+//! Forwards requests to plain services.
 
 use std::rc::Rc;
 
@@ -23,30 +23,30 @@
     http::link::LinkError,
 };
 
-/// An upstream that has not answered within this multiple of the route's aim
-/// is taken for stuck, where the request may go to another. Services answer
-/// within half of their aim; their slowest hundredth takes five times as long.
+/// Time without an answer, as a multiple of the route's latency target, after which an
+/// upstream is considered stuck if the request may be sent to another. Services answer
+/// within half of their target; their slowest hundredth takes five times as long.
 const ANSWER_TIME_FACTOR: u64 = 3;
 
-/// When to come back if every upstream was full.
+/// Time after which to retry if every upstream was full.
 const FULL_RETRY: Span = Span::from_millis(300);
 
-/// When to come back if no upstream could be reached.
+/// Time after which to retry if no upstream could be reached.
 const NO_UPSTREAM_RETRY: Span = Span::from_millis(700);
 
-/// How one attempt ended.
+/// Outcome of one attempt.
 enum Outcome {
-    /// A whole answer.
+    /// The upstream sent a complete answer.
     Answer(ResponseHead, Bytes),
-    /// The upstream says that it did not run.
+    /// The upstream says that the request did not run.
     NotRun,
-    /// The request never left.
+    /// The request was not sent.
     Unsent(LinkError),
-    /// It may have run.
+    /// The request may have run.
     Unknown(LinkError),
 }
 
-/// Counts a request at an upstream until it is dropped.
+/// Counts a request as open at an upstream until it is dropped.
 struct OpenRequest<'a> {
     gateway: &'a Gateway,
     id: &'a str,
@@ -108,7 +108,7 @@
     Err(final_refusal(&job, sends, may_have_run))
 }
 
-/// What the caller is told when no upstream answers.
+/// Returns the refusal of a request that no upstream answers.
 fn final_refusal(job: &Job, sends: u32, may_have_run: bool) -> Refusal {
     match (may_have_run, job.remaining() == Span::ZERO) {
         (true, true) => Refusal::unknown(Code::Deadline, "no answer in time"),
@@ -120,6 +120,7 @@
     }
 }
 
+/// Returns the upstream to try next.
 fn choose(job: &Job, service: &str, tried: &[String]) -> Option<Rc<Instance>> {
     let catalogue = job.gateway.node.catalogue.borrow();
     let untried: Vec<&Rc<Instance>> =
@@ -130,14 +131,16 @@
     untried.iter().find(|row| row.id == id).map(|row| Rc::clone(row))
 }
 
-/// When to come back, if the answer of `instance`, the least busy one, would
-/// come late.
+/// Returns the time after which to retry if `instance`, the least busy upstream, would
+/// answer too late.
 fn check_backlog(job: &Job, instance: &Instance) -> Option<Span> {
     let now = clock::now();
     let target = job.route.latency_target.saturating_sub(now.since(job.arrived));
     job.gateway.backlog.borrow().refuse(now, &instance.id, target, job.draw())
 }
 
+/// Makes one attempt at `instance`. `last` says whether no other upstream may be tried
+/// afterwards.
 async fn attempt(job: &Job, instance: &Instance, last: bool) -> Outcome {
     let _open = OpenRequest::new(&job.gateway, &instance.id);
     let mut time = job.remaining();
@@ -151,6 +154,7 @@
     }
 }
 
+/// Sends the request to `instance` and reads the whole answer.
 async fn exchange(job: &Job, instance: &Instance) -> Outcome {
     let began = clock::now();
     let answer = match send::send(job, instance, SendOptions::default()).await {
@@ -182,7 +186,7 @@
     }
 }
 
-/// Remembers and logs how an attempt ended.
+/// Records and logs the outcome of an attempt.
 fn record(job: &Job, instance: &Instance, outcome: &Outcome) {
     let gateway = &job.gateway;
     let (ending, text) = match outcome {
@@ -208,6 +212,7 @@
         "ms" => now.since(job.arrived).as_millis());
 }
 
+/// Returns the upstream's answer, and counts and logs it.
 fn deliver(job: &Job, instance: &Instance, head: &ResponseHead, body: Bytes) -> Response<BoxBody> {
     let ms = clock::now().since(job.arrived);
     job.gateway.metrics.on_answer(&job.route.name, head.status.as_u16(), ms);
--- a/kingcupbayd/src/gateway/reply.rs
+++ b/kingcupbayd/src/gateway/reply.rs
@@ -1,4 +1,4 @@
-//! Answers that are the entry's own, and those it passes on whole.
+//! The entry's own answers, and upstreams' answers that are passed on as they are.
 
 use actix_http::{Response, ResponseBuilder, StatusCode, body::BoxBody, header};
 use bytes::Bytes;
@@ -10,34 +10,37 @@
 
 use crate::{gateway::Gateway, server::drain::Phase};
 
-/// Why a request gets no upstream's answer.
+/// Refusal of a request that gets no answer from an upstream.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Refusal {
     pub(crate) code: Code,
+    /// Reason, as sent to the caller.
     pub(crate) why: &'static str,
-    /// When coming back helps.
+    /// Time after which to retry, if that may help.
     pub(crate) after: Option<Span>,
-    /// It provably did not run and never will.
+    /// Whether the request provably did not run and never will.
     pub(crate) not_run: bool,
 }
 
 impl Refusal {
-    /// It did not run; coming back does not help.
+    /// Creates the refusal of a request that did not run and should not be retried.
     pub(crate) fn plain(code: Code, why: &'static str) -> Refusal {
         Refusal { code, why, after: None, not_run: true }
     }
 
-    /// It did not run; coming back after `after` helps.
+    /// Creates the refusal of a request that did not run and may be retried after
+    /// `after`.
     pub(crate) fn retry(code: Code, why: &'static str, after: Span) -> Refusal {
         Refusal { code, why, after: Some(after), not_run: true }
     }
 
-    /// It may have run.
+    /// Creates the refusal of a request that may have run.
     pub(crate) fn unknown(code: Code, why: &'static str) -> Refusal {
         Refusal { code, why, after: None, not_run: false }
     }
 
-    /// The status promises "not run" exactly where that is so.
+    /// Returns the status. 502 and 504 mean that the request may have run, any other
+    /// status that it did not.
     fn status(&self) -> StatusCode {
         let status = match self.code {
             Code::OverRate => StatusCode::TOO_MANY_REQUESTS,
@@ -55,7 +58,7 @@
     }
 }
 
-/// The answer for a refusal.
+/// Builds the answer for a refusal and counts it.
 pub(crate) fn refuse(
     gateway: &Gateway,
     metadata: &RequestMetadata,
@@ -75,7 +78,7 @@
     builder.body(body).map_into_boxed_body()
 }
 
-/// An upstream's whole answer, unchanged.
+/// Builds an answer from an upstream's complete answer, unchanged.
 pub(crate) fn complete(
     gateway: &Gateway,
     status: StatusCode,
@@ -85,7 +88,8 @@
     head(gateway, status, headers).body(body).map_into_boxed_body()
 }
 
-/// The head of an upstream's answer, unchanged but for its connection.
+/// Builds the head of an answer from an upstream's, without the headers of the
+/// upstream's connection.
 pub(crate) fn head(
     gateway: &Gateway,
     status: StatusCode,
@@ -99,7 +103,8 @@
     builder
 }
 
-/// A caller that learns early goes elsewhere with its next request.
+/// Closes the caller's connection after this answer while the entry is stopping, so that
+/// the next request goes to another entry.
 fn close_if_leaving(gateway: &Gateway, builder: &mut ResponseBuilder) {
     if gateway.node.drain.phase() != Phase::Serving {
         builder.force_close();
--- a/kingcupbayd/src/gateway/send.rs
+++ b/kingcupbayd/src/gateway/send.rs
@@ -1,4 +1,4 @@
-//! One attempt to have an upstream run a request.
+//! Sends a request to one upstream.
 
 use actix_http::ResponseHead;
 use bytes::{Bytes, BytesMut};
@@ -16,35 +16,35 @@
     http::link::{Link, LinkError},
 };
 
-/// Answers on one connection that belong to other requests before it is
-/// given up.
+/// Answers to other requests after which a connection is closed.
 const MISROUTED_MAX: u32 = 3;
 
 /// Longest answer of a plain service.
 const BODY_MAX_BYTES: usize = 8 << 20;
 
-/// Time by which an upstream hears of the deadline sooner than the entry acts
-/// on it: it then still has its own answer on the way.
+/// Time by which the deadline sent to an upstream is earlier than the entry's own, so
+/// that the upstream's answer still arrives in time.
 const DEADLINE_MARGIN: Span = Span::from_millis(5);
 
-/// The head of an upstream's answer, and the connection with its body.
+/// An upstream's answer whose body has not been read yet.
 pub(crate) struct PendingAnswer {
     pub(crate) link: Link,
     pub(crate) head: ResponseHead,
     pub(crate) metadata: AnswerMetadata,
 }
 
-/// What an attempt is given besides the caller's request.
+/// What an upstream is sent in addition to the caller's request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SendOptions {
-    /// The only version of the adapter that may run it.
+    /// The only version of the adapter that may run the request.
     pub(crate) version: Option<u32>,
     pub(crate) priority: Option<u8>,
-    /// The event after which its stream goes on.
+    /// Event after which the stream resumes.
     pub(crate) last_event: Option<u64>,
 }
 
-/// Sends the request of `job` to `instance` and reads the head of the answer.
+/// Sends the request of `job` to `instance` and reads the head of the answer. Fails if
+/// only answers to other requests arrive.
 pub(crate) async fn send(
     job: &Job,
     instance: &Instance,
@@ -76,8 +76,9 @@
     Err(LinkError::Malformed("only answers of other requests came".to_owned()))
 }
 
-/// An answer is the request's own only if it names it. What never ran may
-/// come without a name.
+/// Returns whether an answer belongs to the request of `job`: it names the same attempt.
+/// An answer without an attempt is accepted if the request has none either, or if the
+/// answer says that nothing ran.
 fn is_own(job: &Job, metadata: &AnswerMetadata) -> bool {
     match &metadata.attempt {
         Some(attempt) => Some(attempt) == job.metadata.attempt.as_ref(),
@@ -85,7 +86,7 @@
     }
 }
 
-/// Reads a whole body and keeps the connection if it can be used again.
+/// Reads the whole body and returns the connection to the pool if it can be used again.
 pub(crate) async fn read_body(
     job: &Job,
     instance: &Instance,
--- a/kingcupbayd/src/gateway/stream.rs
+++ b/kingcupbayd/src/gateway/stream.rs
@@ -1,4 +1,4 @@
-//! Passes a stream of events on, and goes on elsewhere if an engine breaks off.
+//! Forwards a stream of events and resumes it at another engine if one fails.
 
 use std::{io, rc::Rc};
 
@@ -27,26 +27,27 @@
     http::link::{Link, LinkError},
 };
 
-/// Silence in the middle of a stream after which an engine counts as stuck.
-/// Engines make an event each 30 ms; a request that was put back when memory
-/// ran out is read anew within a second.
+/// Time without an event in the middle of a resumable stream after which an engine is
+/// considered stuck. Engines send an event every 30 ms; a request that was preempted for
+/// lack of memory repeats its prefill within a second.
 const EVENT_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// A stream on its way to its caller.
+/// A stream that is forwarded to its caller.
 pub(crate) struct Relay {
     job: Rc<Job>,
     service: String,
     tried: Tried,
     instance: Rc<Instance>,
-    /// Invariant: there until the stream has ended.
+    /// Invariant: present until the stream has ended.
     link: Option<Link>,
-    /// Given back with the relay, also when the caller leaves.
+    /// Released with the relay, also if the caller disconnects.
     permit: Option<Permit>,
     idle: Option<Span>,
-    /// Bytes of an event that is not whole yet.
+    /// Bytes of an incomplete event.
     partial: BytesMut,
-    /// Id of the last event that the caller was given, and when.
+    /// Id of the last event forwarded to the caller.
     last_event: Option<u64>,
+    /// Time at which the last events were forwarded.
     forwarded: Instant,
     /// Longest time between two events.
     pause: Span,
@@ -56,7 +57,7 @@
 }
 
 impl Relay {
-    /// The answer whose body is the stream of `started`.
+    /// Returns the answer whose body is the stream of `started`.
     pub(crate) fn response(
         job: Rc<Job>,
         service: String,
@@ -97,8 +98,8 @@
         }
     }
 
-    /// The next bytes for the caller; an error cuts its connection, so that
-    /// what is not whole does not look it.
+    /// Returns the next bytes for the caller. An error closes the caller's connection,
+    /// so that an incomplete answer cannot be mistaken for a complete one.
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         if self.ended {
             return None;
@@ -113,7 +114,7 @@
                     self.finish();
                     return None;
                 }
-                // The end came in the middle of an event.
+                // The stream ended in the middle of an event.
                 Ok(None) => LinkError::Early,
                 Err(error) => error,
             };
@@ -125,6 +126,7 @@
         }
     }
 
+    /// Reads the next chunk from the engine.
     async fn read(&mut self) -> Result<Option<Bytes>, LinkError> {
         let remaining = self.job.remaining();
         if remaining == Span::ZERO {
@@ -138,9 +140,9 @@
         }
     }
 
-    /// What of `chunk` may be given to the caller: whole events only, as an
-    /// engine may break off in the middle of one, and another goes on after
-    /// the last whole one.
+    /// Returns the part of the received bytes that may be forwarded: whole events only,
+    /// as an engine may fail in the middle of one, and another resumes after the last
+    /// whole one.
     fn take_whole_events(&mut self, chunk: Bytes) -> Option<Bytes> {
         if !self.events {
             return Some(chunk);
@@ -162,13 +164,15 @@
         Some(whole)
     }
 
+    /// Returns whether another engine may resume the stream.
     fn may_resume(&self) -> bool {
         self.events
             && self.job.route.repeat == Repeat::Resumable
             && self.tried.sends < self.job.route.attempts
     }
 
-    /// The engine broke off: another one goes on after the last whole event.
+    /// Resumes the stream at another engine, after the last whole event, once an engine
+    /// has failed with `error`. Returns that error if this is not possible.
     async fn resume(&mut self, error: LinkError) -> Result<(), LinkError> {
         let now = clock::now();
         let gateway = self.job.gateway.clone();
@@ -208,7 +212,7 @@
         }
     }
 
-    /// The stream is whole.
+    /// Records that the stream is complete, and releases the permit and the connection.
     fn finish(&mut self) {
         self.ended = true;
         let gateway = &self.job.gateway;
@@ -219,7 +223,7 @@
             "upstream" => &self.instance.id, "last_event" => self.last_event,
             "pause_ms" => self.pause.as_millis(),
             "ms" => now.since(self.job.arrived).as_millis());
-        // The pause in which another engine took over says nothing of this one.
+        // A pause during which another engine took over is not this engine's.
         let alone = self.tried.sends <= 1;
         if let Some(permit) = self.permit.as_mut().filter(|_| alone) {
             permit.on_complete(self.pause);
@@ -232,8 +236,8 @@
 }
 
 impl Drop for Relay {
-    /// A relay that is dropped before its end has lost its caller. With it goes
-    /// the connection to the engine, which stops work at once.
+    /// Logs that the caller disconnected if the stream has not ended. The connection to
+    /// the engine closes with the relay, and the engine stops the request.
     fn drop(&mut self) {
         if self.ended {
             return;
@@ -245,13 +249,13 @@
     }
 }
 
-/// Where the last whole event of `bytes` ends.
+/// Returns the end of the last whole event in `bytes`.
 fn events_end(bytes: &[u8]) -> Option<usize> {
     let at = bytes.windows(2).rposition(|pair| pair == b"\n\n")?;
     Some(at + 2)
 }
 
-/// Id of the last event in `bytes` that has one.
+/// Returns the id of the last event in `bytes` that has one.
 fn last_id(bytes: &[u8]) -> Option<u64> {
     let lines = bytes.rsplit(|&byte| byte == b'\n');
     let id = lines.filter_map(|line| line.strip_prefix(b"id:")).next()?;
--- a/kingcupbayd/src/registered/follow.rs
+++ b/kingcupbayd/src/registered/follow.rs
@@ -22,6 +22,7 @@
     registered::{Node, members::ENTRY_TABLE, rows, store::StoreError},
 };
 
+/// Returns the name of a table in the store.
 fn table_name(table: Table) -> &'static str {
     match table {
         Table::Operator => OPERATOR_TABLE,
@@ -30,7 +31,8 @@
     }
 }
 
-/// How long a call waits for a first change; `listens` where others tell of some too.
+/// Returns how long a feed waits for a first change. `listens` says whether other
+/// entries report changes of the table too.
 fn feed_wait(table: Table, role: Role, listens: bool) -> Span {
     match (table, role) {
         (_, Role::Upstream) => waits::SIDECAR_FEED_WAIT,
@@ -41,7 +43,7 @@
     }
 }
 
-/// Pause after a call that brought changes.
+/// Returns the pause after a call that returned changes.
 fn feed_pause(table: Table, role: Role) -> Span {
     match (table, role) {
         (_, Role::Upstream) => waits::SIDECAR_FEED_PAUSE,
@@ -50,7 +52,7 @@
     }
 }
 
-/// Follows `table` for ever.
+/// Follows `table` forever.
 pub(crate) async fn follow(node: Rc<Node>, table: Table) {
     let mut pause = waits::RETRY_PAUSE_MIN;
     let mut failing_since = None;
@@ -84,16 +86,16 @@
     }
 }
 
-/// Leaves it to the first feed to find out when the store answers again.
+/// Waits until the store is available again, which the operator table's feed finds out.
 async fn wait_for_store(node: &Node) {
     while node.store.unavailable_since().is_some() {
         tokio::time::sleep(waits::RETRY_PAUSE_MIN.into()).await;
     }
 }
 
-/// Every row of a table, with the version of the store from which its feed goes
-/// on: that of the first page. Rows of it may have changed while the others were
-/// read, and the feed tells of those again.
+/// Reads every row of a table. Returns them with the version from which to follow the
+/// feed: that of the first page. Rows that changed while later pages were read are
+/// returned again by the feed.
 async fn read_table(node: &Node, table: Table) -> Result<(Vec<Row>, u64), StoreError> {
     let mut rows: Vec<Row> = Vec::new();
     let mut oldest = None;
@@ -102,7 +104,7 @@
         let page = node.store.read(table_name(table), &from).await?;
         let version = *oldest.get_or_insert(page.version);
         let before = rows.len();
-        // A page begins with the last row of the one before.
+        // A page begins with the last row of the previous one.
         rows.extend(page.rows.into_iter().filter_map(|change| match change {
             RowChange::Put(row) if before == 0 || row.key.key != from => Some(row),
             RowChange::Put(_) | RowChange::Removed(..) => None,
@@ -113,7 +115,7 @@
     }
 }
 
-/// Takes changes until a call fails.
+/// Applies changes until a call fails, and returns the error.
 async fn follow_feed(node: &Rc<Node>, table: Table) -> StoreError {
     let role = node.settings.daemon.role;
     let mut before = false;
@@ -135,11 +137,12 @@
         let feed = node.store.feed(table_name(table), after, wait);
         let page = tokio::select! {
             page = feed => page,
-            // The store failed another call: this one may hang as well.
+            // Another call to the store failed, so this one may hang too.
             () = store_failure, if table != Table::Operator => {
                 return StoreError::Link(crate::http::link::LinkError::Silent);
             }
-            // Others know more, or tell no more: the connection may be dead.
+            // Other entries know of newer changes, or have stopped reporting. The
+            // connection may be dead.
             () = node.read_due(table), if listens => {
                 node.pool.forget(node.registry.store);
                 continue;
@@ -150,7 +153,8 @@
                 let changed = !page.rows.is_empty();
                 let took = clock::now().since(began);
                 if changed && took >= wait {
-                    // Changes end the wait early, unless the feed heard nothing of them.
+                    // A change ends the wait early, unless the store missed it for this
+                    // feed.
                     warn!(node.log, ""; "event" => "feed_deaf", "table" => table_name(table),
                         "ms" => took.as_millis(), "rows" => page.rows.len(),
                         "version" => page.version);
@@ -165,16 +169,16 @@
     }
 }
 
-/// Takes an answer of a feed.
+/// Applies a page of a feed.
 fn apply_page(node: &Rc<Node>, table: Table, page: RowPage) {
     let known = node.read_positions.borrow().known(table);
     let last = page.rows.last().map(RowChange::version);
-    // What does not fit is told by the next call.
+    // Changes that did not fit are returned by the next call.
     let version = if page.more { last.unwrap_or(known) } else { page.version };
     let now = clock::now();
     let mut reports = Vec::new();
     for change in page.rows {
-        // Another entry may have told of it since the call began.
+        // Another entry may have reported the change since the call began.
         if change.version() > known {
             reports.extend(apply_change(node, table, change));
         }
@@ -187,7 +191,8 @@
     }
 }
 
-/// While the store is away, others may know more.
+/// Fetches rows from the seeds until a configuration is known, as the store is not
+/// available.
 async fn fetch_from_seeds(node: &Rc<Node>) {
     if node.deployment().is_some() {
         return;
@@ -200,7 +205,7 @@
     }
 }
 
-/// Takes a whole table as read.
+/// Applies a complete table.
 fn apply_table(node: &Rc<Node>, table: Table, rows: Vec<Row>, version: u64, after_outage: bool) {
     let now = clock::now();
     let newest = rows.iter().map(|row| row.version).max().unwrap_or_default();
@@ -227,7 +232,7 @@
     }
     let mut read_positions = node.read_positions.borrow_mut();
     match table {
-        // Removed rows of the operator change nothing here.
+        // Deleted rows of the operator have no effect here.
         Table::Operator => read_positions.on_list(now, table, version, newest),
         Table::Upstreams | Table::Entries => read_positions.on_list(now, table, version, version),
     }
@@ -235,7 +240,8 @@
     node.changed.notify_waiters();
 }
 
-/// Takes the list of entries, unless others have told of newer changes already.
+/// Applies the list of entries, unless other entries have reported newer changes
+/// already.
 fn apply_entries(node: &Node, rows: &[Row], version: u64) {
     let known = node.read_positions.borrow().known(Table::Entries);
     if version < known {
@@ -247,7 +253,7 @@
     node.catalogue.borrow_mut().on_members(members);
 }
 
-/// Takes one change. What other entries have to hear of it.
+/// Applies one change. Returns what to report of it to other entries.
 fn apply_change(node: &Rc<Node>, table: Table, change: RowChange) -> Option<TableChange> {
     let now = clock::now();
     let version = change.version();
@@ -297,19 +303,21 @@
     kind.map(|kind| TableChange { version, kind })
 }
 
+/// Stores and applies a change of the operator's rows.
 fn apply_operator_change(node: &Rc<Node>, change: RowChange) {
     node.rows.borrow_mut().on_change(&change);
     let RowChange::Put(row) = change else { return };
     on_operator_row(node, &row);
 }
 
-/// Takes a row that another daemon has read.
+/// Stores and applies a row that another daemon has read.
 pub(crate) fn on_fetched_row(node: &Rc<Node>, row: &Row) {
     node.rows.borrow_mut().on_row(row);
     on_operator_row(node, row);
     node.changed.notify_waiters();
 }
 
+/// Applies a row of the operator: the configuration or an announced version.
 fn on_operator_row(node: &Rc<Node>, row: &Row) {
     if row.key.key == operator::CONFIG_KEY {
         match operator::decode_config(&row.value) {
@@ -337,24 +345,27 @@
     }
 }
 
+/// Decodes the registration of an entry.
 fn member(node: &Node, row: &Row) -> Option<Member> {
     let decoded = serde_json::from_slice(&row.value);
     decoded.inspect_err(|error| log_unreadable(node, &row.key, error)).ok()
 }
 
+/// Logs a row that cannot be decoded.
 fn log_unreadable(node: &Node, key: &RowKey, error: &dyn std::fmt::Display) {
     warn!(node.log, ""; "event" => "row_unreadable", "table" => &key.table, "key" => &key.key,
         "error" => %error);
 }
 
 impl Node {
-    /// The store failed: feeds that wait there may never be answered.
+    /// Drops the connections to the store after a failed call and notifies the other
+    /// feeds, as those that wait there may never be answered.
     fn store_lost(&self) {
         self.pool.forget(self.registry.store);
         self.store_failure.notify_waiters();
     }
 
-    /// Since when nothing has been heard of the store.
+    /// Returns since when the store has not answered, if so.
     pub(crate) fn store_unavailable_since(&self) -> Option<Instant> {
         self.store.unavailable_since()
     }
--- a/kingcupbayd/src/registered/members.rs
+++ b/kingcupbayd/src/registered/members.rs
@@ -1,4 +1,5 @@
-//! The list of entries in the store: who shares the organisations' limits.
+//! Registration of entries in the store. The registered entries share the organisations'
+//! limits.
 
 use std::rc::Rc;
 
@@ -11,13 +12,13 @@
 
 use crate::registered::Node;
 
-/// Table of the entries.
+/// Name of the entries' table.
 pub(crate) const ENTRY_TABLE: &str = "entries";
 
 /// Pause between two attempts to register.
 const RETRY_PAUSE: Span = Span::from_millis(300);
 
-/// Registers this entry, again and again until the store has taken it.
+/// Registers this entry, and retries until the store has accepted it.
 pub(crate) async fn register(node: Rc<Node>) {
     let member = Member {
         host: node.host().to_owned(),
@@ -43,9 +44,10 @@
     }
 }
 
-/// Registers this entry anew once others have taken it off the list. They do so
-/// after a long silence, and an entry off the list admits nothing that is
-/// limited; without this it would refuse its callers for ever once it is back.
+/// Registers this entry again if another entry has removed it from the list. They do so
+/// after a long silence, and an entry that is not listed admits no requests that have a
+/// limit. Without this, an entry that is reachable again would refuse its callers
+/// forever.
 pub(crate) fn ensure_listed(node: &Rc<Node>) {
     let listed = node.catalogue.borrow().members().any(|member| member.host == node.host());
     if !listed && node.registered.replace(false) {
@@ -54,7 +56,7 @@
     }
 }
 
-/// Takes entries off the list that have not been heard for long.
+/// Removes an entry from the list that has been silent for long.
 pub(crate) async fn remove(node: Rc<Node>, host: String) {
     let key = RowKey { table: ENTRY_TABLE.to_owned(), key: host.clone() };
     let txn = Txn { conditions: Vec::new(), writes: vec![(key, None)] };
--- a/kingcupbayd/src/registered/message.rs
+++ b/kingcupbayd/src/registered/message.rs
@@ -1,4 +1,4 @@
-//! Messages of other daemons of a registered fleet, as MessagePack.
+//! Reads messages of other daemons of a registered fleet, which are MessagePack.
 
 use actix_http::{Request, Response, StatusCode, body::BoxBody};
 use kingcupbay_core::time::Span;
@@ -7,15 +7,15 @@
 
 use crate::http;
 
-/// Longest message: a few thousand attempt ids, or a tally of a thousand
+/// Longest message: a few thousand attempt ids, or a usage report of a thousand
 /// organisations with names of 100 bytes.
 const MESSAGE_MAX_BYTES: usize = 256 << 10;
 
-/// Time for a message to arrive.
+/// Timeout of reading a message.
 const MESSAGE_TIMEOUT: Span = Span::from_millis(500);
 
-/// Reads a message. One that does not arrive or cannot be read is logged; the error
-/// is the answer to it.
+/// Reads a message. If it does not arrive or cannot be decoded, logs that and returns
+/// the answer to it as the error.
 pub(crate) async fn read<T: DeserializeOwned>(
     log: &Logger,
     request: &mut Request,
--- a/kingcupbayd/src/registered/mod.rs
+++ b/kingcupbayd/src/registered/mod.rs
@@ -1,11 +1,13 @@
-//! A daemon of a fleet whose configuration and upstreams the platform keeps.
+//! Daemons of a registered fleet, whose configuration and upstreams are kept in the
+//! platform's store.
 //!
-//! The operator writes the whole configuration to the store and upstreams
-//! register themselves there. [`store`] calls it, [`follow`] keeps the
-//! [`Catalogue`] up to date from its feeds, or from other daemons while it is
-//! away ([`copies`]); [`listen`] says when an entry leaves reading to others; [`members`] lists the entries there and [`tallies`] tells
-//! them what organisations have used; [`message`] reads what daemons tell each other. [`start`] sets up either role:
-//! `gateway` in front of callers, `sidecar` beside an engine.
+//! The operator writes the whole configuration to the store, and upstreams register
+//! themselves there. [`store`] is the client of the store. [`follow`] keeps the
+//! [`Catalogue`] up to date from the store's feeds, or from other daemons while the
+//! store is not available ([`rows`]). [`read_positions`] decides when an entry relies on
+//! what other entries have read. [`members`] maintains the list of entries in the store,
+//! [`usage`] sends them usage reports, and [`message`] reads messages of other daemons.
+//! [`start`] sets up either role: `gateway` for entries, `sidecar` beside an engine.
 
 pub(crate) mod follow;
 pub(crate) mod members;
@@ -39,37 +41,37 @@
 use rows::Rows;
 use store::Store;
 
-/// What both roles share.
+/// State that both roles share.
 pub(crate) struct Node {
     pub(crate) settings: Settings,
     pub(crate) registry: Registry,
-    /// Where other daemons reach this one.
+    /// Address at which other daemons reach this one.
     pub(crate) peer_address: SocketAddr,
-    /// Drawn at the start of this process.
+    /// Random number drawn when this process starts.
     pub(crate) incarnation: u64,
     pub(crate) pool: Pool,
     pub(crate) store: Store,
-    /// The store's version at the first read, under which orders are given.
+    /// Version of the store at the first read, which is the fencing number of orders.
     pub(crate) fencing: Cell<Option<u64>>,
-    /// The store has taken this entry's registration.
+    /// Whether the store has accepted this entry's registration.
     pub(crate) registered: Cell<bool>,
     pub(crate) catalogue: RefCell<Catalogue>,
-    /// How far each table is known.
+    /// Versions up to which the tables are known.
     pub(crate) read_positions: RefCell<ReadPositions>,
-    /// The operator's rows as read, for daemons that cannot read them.
+    /// The operator's rows as read, for daemons that cannot reach the store.
     pub(crate) rows: RefCell<Rows>,
-    /// Told whenever the catalogue has changed.
+    /// Notified when the catalogue has changed.
     pub(crate) changed: Notify,
-    /// Told whenever the store has failed a call of the first feed.
+    /// Notified when a call of the operator table's feed has failed.
     pub(crate) store_failure: Notify,
-    /// Told whenever another entry's reading shows that something is missing here.
+    /// Notified when another entry's read position shows that changes are missing here.
     pub(crate) behind: Notify,
     pub(crate) drain: Drain,
     pub(crate) log: Logger,
 }
 
 impl Node {
-    /// A daemon that knows nothing yet.
+    /// Creates the state of a daemon that knows no configuration yet.
     pub(crate) fn new(
         settings: Settings,
         registry: Registry,
@@ -99,29 +101,29 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub(crate) fn deployment(&self) -> Option<Rc<Deployment>> {
         self.catalogue.borrow().deployment().cloned()
     }
 
-    /// Its number, the lowest before one is known.
+    /// Returns the configuration number, the lowest before a configuration is known.
     pub(crate) fn number(&self) -> Number {
         self.deployment().map_or_else(Number::default, |deployment| deployment.number)
     }
 
-    /// Where other daemons reach the one on `host`, if it is listed.
+    /// Returns the address of the daemon on `host`, if it is listed.
     pub(crate) fn address_of(&self, host: &str) -> Option<SocketAddr> {
         let catalogue = self.catalogue.borrow();
         let member = catalogue.members().find(|member| member.host == host);
         member.map(|member| member.address)
     }
 
-    /// Name of this host.
+    /// Returns the name of this host.
     pub(crate) fn host(&self) -> &str {
         self.settings.daemon.host.as_str()
     }
 
-    /// Lets what hangs on time happen.
+    /// Drops upstreams that did not register again after an outage of the store.
     pub(crate) fn tick(&self, now: Instant) {
         for id in self.catalogue.borrow_mut().on_tick(now) {
             info!(self.log, ""; "event" => "upstream_gone", "id" => id, "why" => "stayed away");
--- a/kingcupbayd/src/registered/read_positions.rs
+++ b/kingcupbayd/src/registered/read_positions.rs
@@ -1,4 +1,5 @@
-//! Entries that hear from other entries what these have read in the store.
+//! Reading by proxy: entries (listeners) that rely on what other entries (readers) have
+//! read from the store.
 
 use std::collections::BTreeMap;
 
@@ -16,21 +17,22 @@
 use crate::{clock, registered::Node};
 
 impl Node {
-    /// Whether this daemon reads the store whatever others read.
+    /// Returns whether this daemon reads the store itself at all times.
     fn is_reader(&self) -> bool {
         let catalogue = self.catalogue.borrow();
         self.settings.daemon.role == Role::Upstream
             || readers::is_reader(catalogue.of_role(Role::Entry), self.host())
     }
 
-    /// For how long others' readings of `table` save this daemon a call of the store.
+    /// Returns for how long other entries' read positions of `table` replace calls of
+    /// the store. `None` if this daemon has to read the table itself.
     pub(crate) fn listen_time(&self, table: Table) -> Option<Span> {
         let listen_time = self.read_positions.borrow().remaining(clock::now(), table)?;
         (!self.is_reader()).then_some(listen_time)
     }
 
-    /// What the next tally tells others of this daemon's own reads. Those of listeners
-    /// are not told: at a start they read all, and all at once.
+    /// Returns this daemon's own read positions for the next usage report. Listeners
+    /// report none: they all read every table when they start, and at the same time.
     pub(crate) fn own_read_positions(&self, now: Instant) -> BTreeMap<Table, ReadPosition> {
         match self.is_reader() {
             true => self.read_positions.borrow_mut().report(now),
@@ -38,17 +40,17 @@
         }
     }
 
-    /// Ends when this daemon has to read `table` itself.
+    /// Waits until this daemon has to read `table` itself.
     pub(crate) async fn read_due(&self, table: Table) {
         loop {
             let behind = self.behind.notified();
             let Some(listen_time) = self.listen_time(table) else { return };
-            // Whichever ends first, the state is looked at again.
+            // The state is checked again, whichever ends first.
             let _ = tokio::time::timeout(listen_time.into(), behind).await;
         }
     }
 
-    /// Takes over what another entry has read.
+    /// Applies the read positions of another entry, taken out of its usage report.
     pub(crate) fn on_read_positions(&self, now: Instant, report: &mut UsageReport) {
         for (table, position) in std::mem::take(&mut report.positions) {
             let version = position.version;
@@ -68,6 +70,7 @@
         }
     }
 
+    /// Logs a change that another entry has reported.
     fn log_reported_change(&self, change: &TableChange, peer: &str, read: u64) {
         let (event, name) = match &change.kind {
             ChangeKind::Upstream(row) if row.leaving => ("upstream_leaves", &row.id),
--- a/kingcupbayd/src/registered/rows.rs
+++ b/kingcupbayd/src/registered/rows.rs
@@ -1,8 +1,8 @@
-//! The operator's rows from daemon to daemon.
+//! Exchange of the operator's rows between daemons.
 //!
-//! A daemon that cannot reach the store, at its start or for some seconds, may
-//! still reach others that can. It asks them for what they have read, and
-//! takes what is newer, so that a withdrawn key dies there too.
+//! A daemon that cannot reach the store, at its start or for some seconds, may still
+//! reach other daemons that can. It fetches their rows and applies the newer ones, so
+//! that a withdrawn key stops working there too.
 
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc};
 
@@ -18,17 +18,18 @@
 
 use crate::registered::{Node, follow};
 
-/// The newest rows that this daemon has, from the store or from another daemon. Each
-/// is what the daemon acts on: one that tells others of a newer configuration and then
-/// gives them an older row leaves them behind, and they ask ever more seldom.
+/// The newest rows known to this daemon, from the store or from another daemon. They
+/// must include every row that it acts on: if it reported a newer configuration but
+/// returned an older row, the daemons that fetch from it would stay behind, and fetch
+/// ever more rarely.
 #[derive(Debug, Default)]
 pub(crate) struct Rows {
-    /// Version and content.
+    /// Version and content of each row.
     rows: BTreeMap<RowKey, (u64, Vec<u8>)>,
 }
 
 impl Rows {
-    /// Takes a change.
+    /// Applies a change read from the store.
     pub(crate) fn on_change(&mut self, change: &RowChange) {
         match change {
             RowChange::Put(row) => self.on_row(row),
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Takes a row unless a newer one is known.
+    /// Stores a row unless a newer one is known.
     pub(crate) fn on_row(&mut self, row: &Row) {
         let known = self.rows.get(&row.key).map_or(0, |(version, _)| *version);
         if known <= row.version {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// All rows, for another daemon.
+    /// Returns all rows, for another daemon.
     pub(crate) fn stored_rows(&self) -> StoredRows {
         let stored = |(key, (version, value)): (&RowKey, &(u64, Vec<u8>))| StoredRow {
             table: key.table.clone(),
@@ -56,7 +57,8 @@
     }
 }
 
-/// Asks the daemon at `address` for its rows and takes what is newer.
+/// Fetches the rows of the daemon at `address` and applies the newer ones. Returns
+/// whether the rows were received.
 pub(crate) async fn fetch(node: &Rc<Node>, address: SocketAddr) -> bool {
     let called = node.pool.call(address, Method::GET, ROWS_PATH, &[], waits::FETCH_TIMEOUT).await;
     let answer = match called {
--- a/kingcupbayd/src/registered/start.rs
+++ b/kingcupbayd/src/registered/start.rs
@@ -1,4 +1,4 @@
-//! Start, planned stop and reload of a daemon of a registered fleet.
+//! Start and planned stop of a daemon of a registered fleet.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -27,18 +27,18 @@
     sidecar::{self, Sidecar, engine, load_reports},
 };
 
-/// Time for the head of a message of another daemon.
+/// Timeout of reading the head of another daemon's message.
 const HEAD_TIMEOUT: Span = Span::from_secs(5);
 
-/// How long readiness fails before connections are closed: the balancer asks
-/// each second and looks elsewhere after two answers, so callers come until
-/// then.
+/// Time during which readiness fails before connections are closed. The load balancer
+/// probes every second and stops sending callers after two failures, so new callers may
+/// arrive until then.
 const LEAVING_TIME: Span = Span::from_millis(2_200);
 
-/// Time kept before the end of the grace, for the last bytes.
+/// Part of the grace period that is kept for the last bytes.
 const GRACE_MARGIN: Span = Span::from_millis(250);
 
-/// Listeners of a daemon, bound before anything is told of them.
+/// Listeners of a daemon, all bound before the addresses are announced.
 struct Listeners {
     callers: Option<(TcpListener, SocketAddr)>,
     ready: Option<(TcpListener, SocketAddr)>,
@@ -46,7 +46,8 @@
     operators: (TcpListener, SocketAddr),
 }
 
-/// Runs a daemon until `stop` ends, and then until what runs has ended.
+/// Runs a daemon until `stop` completes, then until its running requests have ended.
+/// Fails if an address cannot be bound.
 pub async fn run(
     settings: Settings,
     registry: Registry,
@@ -77,6 +78,7 @@
     Ok(())
 }
 
+/// Starts the tasks and servers of an entry.
 fn start_entry(node: &Rc<Node>, listeners: Listeners) {
     let gateway = Rc::new(Gateway::new(node.clone()));
     for table in [Table::Operator, Table::Upstreams, Table::Entries] {
@@ -102,6 +104,7 @@
     listen(listeners.operators.0, HEAD_TIMEOUT, Drain::new(), handle);
 }
 
+/// Starts the tasks and servers of a sidecar.
 fn start_sidecar(node: &Rc<Node>, listeners: Listeners) {
     let engine = node.registry.engine.expect("settings of an upstream daemon name its engine");
     let sidecar = Rc::new(Sidecar::new(node.clone(), engine));
@@ -116,6 +119,7 @@
     listen(listeners.operators.0, HEAD_TIMEOUT, Drain::new(), handle);
 }
 
+/// Starts a server on `listener`.
 fn listen<F, Fut>(listener: TcpListener, head: Span, drain: Drain, handle: F)
 where
     F: Fn(Request) -> Fut + Clone + 'static,
@@ -124,7 +128,7 @@
     drop(actix_rt::spawn(server::serve(listener, head, drain, handle)));
 }
 
-/// Stops as planned: readiness fails first, running requests finish.
+/// Stops as planned: readiness fails first, then running requests finish.
 async fn shut_down(node: &Rc<Node>) {
     let log = &node.log;
     info!(log, ""; "event" => "stopping", "connections" => node.drain.open());
@@ -141,7 +145,7 @@
     }
 }
 
-/// Keeps the list of entries that share the limits.
+/// Updates the list of entries that share the limits whenever the catalogue changes.
 async fn update_entries(gateway: Rc<Gateway>) {
     loop {
         let changed = gateway.node.changed.notified();
@@ -151,6 +155,8 @@
     }
 }
 
+/// Applies the catalogue to the allowance, and drops the state of unregistered
+/// upstreams.
 fn apply_entries(gateway: &Gateway) {
     let catalogue = gateway.node.catalogue.borrow();
     let entries = catalogue.of_role(Role::Entry).map(|member| member.host.as_str());
@@ -160,6 +166,7 @@
     gateway.backlog.borrow_mut().retain(known);
 }
 
+/// Answers readiness probes.
 async fn answer_ready(gateway: Rc<Gateway>, request: Request) -> Response<BoxBody> {
     match (request.path(), gateway.ready()) {
         ("/ready", true) => http::reply::text(StatusCode::OK, "ready\n"),
@@ -168,6 +175,7 @@
     }
 }
 
+/// Handles messages of other daemons to an entry.
 async fn handle_entry_peer(gateway: Rc<Gateway>, request: Request) -> Response<BoxBody> {
     match request.path() {
         USAGE_PATH => usage::handle(gateway, request).await,
@@ -181,6 +189,7 @@
     }
 }
 
+/// Applies a sidecar's load report.
 async fn handle_load_report(gateway: Rc<Gateway>, mut request: Request) -> Response<BoxBody> {
     let report = match message::read::<EngineLoadReport>(&gateway.node.log, &mut request).await {
         Ok(report) => report,
@@ -191,6 +200,7 @@
     Response::with_body(status, BoxBody::new(()))
 }
 
+/// Handles messages of entries to a sidecar.
 async fn handle_sidecar_peer(sidecar: Rc<Sidecar>, request: Request) -> Response<BoxBody> {
     match request.path() {
         PERMIT_PATH => sidecar::permits::handle_permit_request(sidecar, request).await,
@@ -200,6 +210,7 @@
     }
 }
 
+/// Answers operators at an entry.
 async fn answer_operator(gateway: Rc<Gateway>, request: Request) -> Response<BoxBody> {
     match request.path() {
         "/metrics" => http::reply::text(StatusCode::OK, gateway.metrics.text()),
@@ -207,6 +218,7 @@
     }
 }
 
+/// Answers operators at a sidecar.
 async fn answer_sidecar_operator(sidecar: Rc<Sidecar>, request: Request) -> Response<BoxBody> {
     match request.path() {
         "/metrics" => {
--- a/kingcupbayd/src/registered/store.rs
+++ b/kingcupbayd/src/registered/store.rs
@@ -1,4 +1,4 @@
-//! Calls of the platform's store.
+//! Client of the platform's store.
 
 use std::{cell::Cell, net::SocketAddr};
 
@@ -22,25 +22,25 @@
     metrics::store_calls,
 };
 
-/// Why a call of the store brought nothing.
+/// Why a call of the store failed.
 #[derive(Debug)]
 #[derive(Error)]
 pub(crate) enum StoreError {
-    /// No answer: a write may have taken effect, or may do so later.
+    /// There was no answer. A write may have taken effect, or may do so later.
     #[error("{0}")]
     Link(#[from] LinkError),
-    /// It refused; nothing was done.
+    /// The store refused the call, which had no effect.
     #[error("status {0}")]
     Refused(u16),
-    /// The history from which to go on has been dropped.
+    /// The store has dropped the history from the requested version on.
     #[error("the history is gone")]
     HistoryDropped,
-    /// The answer cannot be read.
+    /// The answer cannot be decoded.
     #[error("{0}")]
     Decode(#[from] DecodeError),
 }
 
-/// The store, and whether it answers.
+/// Client of the store, which tracks whether it answers.
 pub(crate) struct Store {
     pool: Pool,
     address: SocketAddr,
@@ -52,30 +52,30 @@
 }
 
 impl Store {
-    /// A client of the store at `address`.
+    /// Creates a client of the store at `address`.
     pub(crate) fn new(pool: Pool, address: SocketAddr, log: Logger) -> Store {
         Store { pool, address, unavailable_since: Cell::new(None), calls: store_calls(), log }
     }
 
-    /// Calls by kind and table, for the metrics of this daemon.
+    /// Returns the counter of calls by kind and table, for this daemon's metrics.
     pub(crate) fn calls(&self) -> &IntCounterVec {
         &self.calls
     }
 
-    /// Since when the store has not answered.
+    /// Returns since when the store has not answered, if so.
     pub(crate) fn unavailable_since(&self) -> Option<Instant> {
         self.unavailable_since.get()
     }
 
-    /// Rows of `table` from the key `from` on.
+    /// Returns a page of rows of `table`, from the key `from` on.
     pub(crate) async fn read(&self, table: &str, from: &str) -> Result<RowPage, StoreError> {
         self.calls.with_label_values(&["read", table]).inc();
         let answer = self.call(&platform::encode_read(table, from), STORE_CALL_TIMEOUT).await?;
         Ok(platform::decode_page(&answer.body)?)
     }
 
-    /// What has changed in `table` after version `after`; waits up to `wait`
-    /// for a first change.
+    /// Returns the changes of `table` after version `after`. Waits up to `wait` for a
+    /// first change.
     pub(crate) async fn feed(
         &self,
         table: &str,
@@ -97,6 +97,7 @@
         Ok(platform::decode_transaction(answer.status == 412, &answer.body)?)
     }
 
+    /// Calls the store with the timeout `time`.
     async fn call(&self, call: &Call, time: Span) -> Result<Answer, StoreError> {
         let method = if call.method == "GET" { Method::GET } else { Method::POST };
         let answered = self.pool.call(self.address, method, &call.path, &call.body, time).await;
@@ -112,7 +113,7 @@
         result
     }
 
-    /// Logs when the store is lost and when it is back.
+    /// Records and logs when the store is lost and when it is back.
     fn log_availability(&self, result: &Result<Answer, StoreError>) {
         let now = clock::now();
         match (result, self.unavailable_since.get()) {
--- a/kingcupbayd/src/registered/usage.rs
+++ b/kingcupbayd/src/registered/usage.rs
@@ -1,4 +1,4 @@
-//! Tells other entries what organisations have used here.
+//! Exchange of usage reports between entries.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -17,17 +17,17 @@
     registered::{Node, members, message, rows},
 };
 
-/// Time for a peer's answer; longer, and the next tally says more.
+/// Timeout of a peer's answer. If it is late, the next report replaces this one.
 const ANSWER_TIMEOUT: Span = Span::from_millis(300);
 
-/// An entry that was silent for this long is taken off the list, and its part
-/// of the limits falls to the others. A restart or a cut is over by then.
+/// Silence after which an entry is removed from the list, so that its part of the limits
+/// goes to the others. A restart or a short loss of the network does not take that long.
 const SILENCE_MAX: Span = Span::from_secs(20);
 
-/// Pause between two tries to take the same entries off.
+/// Pause between two attempts to remove the same entries.
 const REMOVAL_PAUSE: Span = Span::from_secs(5);
 
-/// Sends tallies for ever.
+/// Sends usage reports forever.
 pub(crate) async fn send_reports(gateway: Rc<Gateway>) {
     let mut last_removal = clock::now();
     loop {
@@ -55,7 +55,7 @@
     }
 }
 
-/// Takes another entry's tally.
+/// Applies another entry's usage report.
 pub(crate) async fn handle(gateway: Rc<Gateway>, mut request: Request) -> Response<BoxBody> {
     let mut report = match message::read::<UsageReport>(&gateway.node.log, &mut request).await {
         Ok(report) => report,
@@ -64,7 +64,7 @@
     let now = clock::now();
     let from = gateway.node.address_of(&report.host);
     let number = gateway.node.number();
-    // Whoever tells it: one that is not listed here yet has read it all the same.
+    // This also counts for an entry that is not listed here yet.
     gateway.catch_up.borrow_mut().on_number(report.number);
     if let Some(address) = from
         && gateway.catch_up.borrow_mut().begin_fetch(now, number, report.number)
@@ -80,7 +80,7 @@
     Response::with_body(status, BoxBody::new(()))
 }
 
-/// Takes over which upstreams another entry saw leave.
+/// Applies departures of upstreams that another entry has seen.
 fn apply_departures(node: &Node, now: Instant, report: &UsageReport) {
     for (id, &version) in &report.left {
         if node.catalogue.borrow_mut().on_departure_report(now, id, version) {
@@ -91,7 +91,7 @@
     }
 }
 
-/// Takes from another entry what the store has not told.
+/// Fetches from another entry what the store has not delivered.
 async fn catch_up(gateway: Rc<Gateway>, from: SocketAddr) {
     let node = &gateway.node;
     let began = clock::now();
@@ -103,12 +103,14 @@
         "newest" => catch_up.newest().0, "ms" => now.since(began).as_millis());
 }
 
+/// Returns the addresses of the other entries.
 fn peers(gateway: &Gateway) -> Vec<SocketAddr> {
     let catalogue = gateway.node.catalogue.borrow();
     let others = catalogue.of_role(Role::Entry).filter(|member| member.host != gateway.node.host());
     others.map(|member| member.address).collect()
 }
 
+/// Sends a usage report to one entry.
 async fn send_report(gateway: Rc<Gateway>, peer: SocketAddr, body: Bytes) {
     let called =
         gateway.node.pool.call(peer, Method::POST, USAGE_PATH, &body, ANSWER_TIMEOUT).await;
@@ -131,6 +133,7 @@
     }
 }
 
+/// Removes silent entries from the list, unless the store is not available.
 fn remove_silent(gateway: &Rc<Gateway>) {
     if gateway.node.store_unavailable_since().is_some() {
         return;
--- a/kingcupbayd/src/sidecar/engine.rs
+++ b/kingcupbayd/src/sidecar/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's reports and orders.
+//! Fetches the engine's reports and sends it orders.
 
 use std::rc::Rc;
 
@@ -15,16 +15,16 @@
 
 use crate::{clock, sidecar::Sidecar};
 
-/// Time for a report. The engine is on the same host and answers at once.
+/// Timeout of fetching a report. The engine is on the same host and answers at once.
 const REPORT_TIMEOUT: Span = Span::from_millis(400);
 
-/// Time for the reply to an order.
+/// Timeout of sending an order and receiving the reply.
 const ORDER_TIMEOUT: Span = Span::from_millis(800);
 
-/// Reports in a row that did not come before the engine counts as gone.
+/// Failed fetches in a row after which the engine is considered lost.
 const MISSED_REPORTS_MAX: u32 = 2;
 
-/// Asks for reports for ever, as often as they are of use.
+/// Fetches reports forever, at the interval that the admission state asks for.
 pub(crate) async fn watch(sidecar: Rc<Sidecar>) {
     let mut misses = 0;
     loop {
@@ -51,7 +51,7 @@
             if passed >= wait {
                 break;
             }
-            // A new request may want the next report sooner.
+            // A new request may shorten the interval.
             let remaining = wait.saturating_sub(passed);
             tokio::select! {
                 () = tokio::time::sleep(remaining.into()) => {}
@@ -61,6 +61,7 @@
     }
 }
 
+/// Fetches one report and applies it.
 async fn fetch_report(sidecar: &Rc<Sidecar>) -> Result<(), String> {
     let call = platform::encode_report_request();
     let pool = &sidecar.node.pool;
@@ -76,7 +77,7 @@
     Ok(())
 }
 
-/// Logs what an order has changed; reports in between only repeat it.
+/// Logs the first report after the engine has taken an order. The others only repeat it.
 fn log_report(sidecar: &Sidecar, report: &Report) {
     if report.orders == sidecar.orders.replace(report.orders) {
         return;
@@ -91,7 +92,7 @@
         "leaving" => report.leaving);
 }
 
-/// Gives the engine an order.
+/// Sends an order to the engine and applies its reply.
 pub(crate) async fn send_order(sidecar: Rc<Sidecar>, order: Order) {
     let call = platform::encode_order(&order);
     let pool = &sidecar.node.pool;
--- a/kingcupbayd/src/sidecar/load_reports.rs
+++ b/kingcupbayd/src/sidecar/load_reports.rs
@@ -1,5 +1,5 @@
-//! Lets entries know how busy the engine is and what it holds, and takes over
-//! what the operator declares of it.
+//! Reports the engine's load and resident adapters to entries, and applies the
+//! operator's specification of the engine.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -12,16 +12,16 @@
 
 use crate::{clock, sidecar::Sidecar};
 
-/// Period of the messages; an entry's own sends since the last one count too.
+/// Period of load reports. In between, an entry counts its own requests.
 const REPORT_PERIOD: Span = Span::from_millis(250);
 
-/// Time for an entry's answer.
+/// Timeout of an entry's answer.
 const ANSWER_TIMEOUT: Span = Span::from_millis(300);
 
-/// An entry that asked for no place for this long is told nothing.
+/// Time without a permit request after which an entry is sent no more reports.
 const ENTRY_IDLE_MAX: Span = Span::from_secs(20);
 
-/// Tells entries for ever.
+/// Sends load reports forever.
 pub(crate) async fn send_reports(sidecar: Rc<Sidecar>) {
     loop {
         tokio::time::sleep(REPORT_PERIOD.into()).await;
@@ -42,6 +42,7 @@
     }
 }
 
+/// Sends one load report to `entry` and applies its answer.
 async fn send_report(
     sidecar: Rc<Sidecar>,
     entry: SocketAddr,
@@ -56,25 +57,28 @@
         entry.reporter.on_answer(at, acknowledged);
     }
     if let Err(error) = called {
-        // The next message says more; an entry that is gone asks no more.
+        // The next report replaces this one, and an entry that has stopped requests no
+        // more permits.
         debug!(sidecar.node.log, ""; "event" => "tell_failed", "entry" => %entry,
             "error" => %error);
     }
 }
 
-/// Takes over what is declared of the engine, whenever that changes.
+/// Applies the operator's specification and the announced versions whenever the
+/// catalogue changes.
 pub(crate) async fn follow_catalogue(sidecar: Rc<Sidecar>) {
     let node = &sidecar.node;
     loop {
         let changed = node.changed.notified();
         apply_catalogue(&sidecar);
-        // An engine that came back empty waits for just this.
+        // An engine that restarted empty waits for this.
         let actions = sidecar.admission.borrow_mut().on_tick(clock::now());
         sidecar.perform(actions);
         changed.await;
     }
 }
 
+/// Applies the engine's specification, announced versions and the fencing number.
 fn apply_catalogue(sidecar: &Rc<Sidecar>) {
     let node = &sidecar.node;
     let mut admission = sidecar.admission.borrow_mut();
--- a/kingcupbayd/src/sidecar/metrics.rs
+++ b/kingcupbayd/src/sidecar/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies of a daemon beside an engine.
+//! Counters and latencies of a sidecar.
 
 use kingcupbay_core::{
     admission::order::{Reply, Target},
@@ -9,7 +9,7 @@
 
 use crate::metrics::{LATENCY, counters, gauges, histograms, text};
 
-/// Every metric of a daemon beside an engine.
+/// Metrics of a sidecar.
 pub(crate) struct Metrics {
     registry: Registry,
     verdicts: IntCounterVec,
@@ -19,7 +19,7 @@
 }
 
 impl Metrics {
-    /// Metrics at zero, and those that count `calls` of the store.
+    /// Creates the metrics at zero and adds `calls`, the counter of store calls.
     pub(crate) fn new(calls: &IntCounterVec) -> Metrics {
         let registry = Registry::new();
         let calls = Box::new(calls.clone());
@@ -54,6 +54,7 @@
         }
     }
 
+    /// Counts a verdict on a permit request that waited for `waited`.
     pub(crate) fn on_verdict(&self, verdict: &Verdict, waited: Span) {
         let name = match verdict {
             Verdict::Granted { .. } => "granted",
@@ -63,6 +64,7 @@
         self.wait.with_label_values(&[name]).observe(waited.as_secs_f64());
     }
 
+    /// Counts an order to the engine.
     pub(crate) fn on_order(&self, target: Target, reply: Reply) {
         let target = match target {
             Target::Load { .. } => "load",
@@ -71,7 +73,8 @@
         self.orders.with_label_values(&[target, reply.as_str()]).inc();
     }
 
-    /// All metrics in Prometheus's text format, with the load of this moment.
+    /// Returns all metrics in the Prometheus text format, with `now` as the current
+    /// load.
     pub(crate) fn text(&self, now: &EngineLoadReport) -> String {
         self.requests.with_label_values(&["running"]).set(i64::from(now.running));
         self.requests.with_label_values(&["waiting"]).set(i64::from(now.waiting));
--- a/kingcupbayd/src/sidecar/mod.rs
+++ b/kingcupbayd/src/sidecar/mod.rs
@@ -1,10 +1,10 @@
-//! The daemon beside a model engine of a registered fleet.
+//! Sidecar: the daemon beside a model engine of a registered fleet.
 //!
-//! It alone orders the engine about and gives out its places; streams go
-//! straight from the engine to the entries. [`desk`] answers entries that want
-//! a place, [`engine`] asks the engine for reports and gives it orders, and
-//! [`tell`] lets entries know how busy it is; [`metrics`] counts. All decisions
-//! are `kingcupbay_core::admission`'s.
+//! Only the sidecar orders the engine to load and unload adapters, and only it grants
+//! permits; streams go straight from the engine to the entries. [`permits`] answers
+//! permit requests of entries, [`engine`] fetches the engine's reports and sends it
+//! orders, and [`load_reports`] reports its load to entries; [`metrics`] counts. All
+//! decisions are made by `kingcupbay_core::admission`.
 
 pub(crate) mod engine;
 pub(crate) mod load_reports;
@@ -30,34 +30,36 @@
 
 use metrics::Metrics;
 
-/// State of the daemon beside an engine.
+/// State of a sidecar.
 pub(crate) struct Sidecar {
     pub(crate) node: Rc<Node>,
-    /// The engine's address.
+    /// Address of the engine.
     pub(crate) engine: SocketAddr,
     pub(crate) admission: RefCell<Admission>,
-    /// Who waits for a verdict.
+    /// Permit requests that wait for a verdict.
     pub(crate) answers: RefCell<BTreeMap<Ticket, oneshot::Sender<Verdict>>>,
+    /// Last ticket issued.
     pub(crate) tickets: Cell<u64>,
-    /// Orders that the last report counted; before the first, more than any.
+    /// Number of orders in the last report. `u64::MAX` before the first report.
     pub(crate) orders: Cell<u64>,
-    /// Wakes the loop that asks for reports.
+    /// Wakes the loop that fetches reports.
     pub(crate) wake: Notify,
-    /// Entries that asked for places lately.
+    /// Entries that have recently requested permits, by address.
     pub(crate) entries: RefCell<BTreeMap<SocketAddr, EntryState>>,
     pub(crate) metrics: Metrics,
 }
 
-/// An entry that asks for places.
+/// State kept for an entry that requests permits.
 #[derive(Debug, Default)]
 pub(crate) struct EntryState {
-    /// When it last did.
+    /// Time of its last permit request.
     pub(crate) last_request: Instant,
+    /// State of the load reports sent to it.
     pub(crate) reporter: LoadReporter,
 }
 
 impl Sidecar {
-    /// A daemon beside the engine at `engine`.
+    /// Creates the state of the sidecar of the engine at `engine`.
     pub(crate) fn new(node: Rc<Node>, engine: SocketAddr) -> Sidecar {
         Sidecar {
             admission: RefCell::new(Admission::new(node.host())),
@@ -72,14 +74,14 @@
         }
     }
 
-    /// Carries out what the core decided.
+    /// Carries out the core's decisions.
     pub(crate) fn perform(self: &Rc<Self>, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Answer(ticket, verdict) => {
                     if let Some(answer) = self.answers.borrow_mut().remove(&ticket) {
-                        // The entry may have left; its place comes back by
-                        // its own word or the engine's next reports.
+                        // If the entry has stopped waiting, it releases the permit, or
+                        // the engine's next reports show that nothing runs under it.
                         let _ = answer.send(verdict);
                     }
                 }
--- a/kingcupbayd/src/sidecar/permits.rs
+++ b/kingcupbayd/src/sidecar/permits.rs
@@ -1,4 +1,4 @@
-//! Entries' requests for places.
+//! Handles entries' permit requests, releases and replica requests.
 
 use std::rc::Rc;
 
@@ -14,10 +14,10 @@
 
 use crate::{clock, http, registered::message, server::drain::Phase, sidecar::Sidecar};
 
-/// When to come back to a daemon that stops; its successor is there soon.
+/// Time after which to retry at a sidecar that is stopping. Its successor starts soon.
 const STOPPING_RETRY: Span = Span::from_secs(1);
 
-/// A request that waits; its drop takes it out of the queue.
+/// A queued permit request, removed from the queue on drop.
 struct QueuedRequest {
     sidecar: Rc<Sidecar>,
     ticket: Ticket,
@@ -25,8 +25,7 @@
 
 impl Drop for QueuedRequest {
     fn drop(&mut self) {
-        // Answered tickets are gone already, and only then is there nothing
-        // to cancel.
+        // An answered ticket is no longer in the map, and needs no cancellation.
         if self.sidecar.answers.borrow_mut().remove(&self.ticket).is_some() {
             let actions = self.sidecar.admission.borrow_mut().on_cancel(clock::now(), self.ticket);
             self.sidecar.perform(actions);
@@ -34,7 +33,7 @@
     }
 }
 
-/// Answers when there is a place, or none in time.
+/// Answers a permit request once it is granted or refused.
 pub(crate) async fn handle_permit_request(
     sidecar: Rc<Sidecar>,
     mut request: Request,
@@ -75,7 +74,7 @@
     answer(&verdict)
 }
 
-/// Takes places back.
+/// Releases permits.
 pub(crate) async fn handle_releases(
     sidecar: Rc<Sidecar>,
     mut request: Request,
@@ -96,7 +95,7 @@
     Response::with_body(StatusCode::NO_CONTENT, BoxBody::new(()))
 }
 
-/// Has an adapter loaded whose other engines are busy.
+/// Requests a replica of an adapter whose other engines are busy.
 pub(crate) async fn handle_replica_request(
     sidecar: Rc<Sidecar>,
     mut request: Request,
@@ -110,6 +109,7 @@
     Response::with_body(StatusCode::NO_CONTENT, BoxBody::new(()))
 }
 
+/// Encodes a verdict as an answer.
 fn answer(verdict: &Verdict) -> Response<BoxBody> {
     let body = rmp_serde::to_vec_named(verdict).expect("a verdict has only plain fields");
     http::reply::bytes("application/msgpack", body.into())
