--- a/kingcupbayd/tests/listen.rs
+++ b/kingcupbayd/tests/listen.rs
@@ -1,5 +1,5 @@
-//! An entry that leaves reading the store to others. The test plays the readers, which
-//! the store lists with an incarnation that puts them first.
+//! An entry that relies on readers, other entries that read the store. The tests act as
+//! the readers, which the store lists with an incarnation that gives them precedence.
 
 #![allow(clippy::unwrap_used)]
 
@@ -26,7 +26,7 @@
 
 const READERS: [&str; 4] = ["reader-1", "reader-2", "reader-3", "reader-4"];
 
-/// An entry behind four readers; nobody answers at their addresses.
+/// Starts an entry behind four readers, whose addresses do not answer.
 async fn listener() -> Fleet {
     let fleet = Fleet::start(1).await;
     for (index, host) in READERS.iter().enumerate() {
@@ -37,49 +37,51 @@
     fleet
 }
 
-/// Version of the store as it is now. A reading of a newer one would claim to know what
-/// has not happened yet.
+/// Returns the current version of the store. A read position with a newer version would
+/// claim to know changes that have not happened yet.
 fn version(fleet: &Fleet) -> u64 {
     fleet.store.put("op", "round", &json!({}))
 }
 
-fn reading(version: u64, since: u64, changes: Vec<TableChange>) -> ReadPosition {
+fn position(version: u64, since: u64, changes: Vec<TableChange>) -> ReadPosition {
     ReadPosition { version, age: Span::ZERO, since, changes }
 }
 
-/// The first reader tells `readings`, the others that they are there.
-async fn tell(fleet: &Fleet, readings: BTreeMap<Table, ReadPosition>) {
+/// Reports `positions` from the first reader, and nothing from the others.
+async fn report_from_readers(fleet: &Fleet, positions: BTreeMap<Table, ReadPosition>) {
     for host in READERS {
-        let told = if host == READERS[0] { readings.clone() } else { BTreeMap::new() };
-        send(fleet, host, told).await;
+        let reported = if host == READERS[0] { positions.clone() } else { BTreeMap::new() };
+        send_report(fleet, host, reported).await;
     }
 }
 
-async fn send(fleet: &Fleet, host: &str, readings: BTreeMap<Table, ReadPosition>) {
-    let tally = UsageReport {
+/// Sends the entry a usage report of `host`.
+async fn send_report(fleet: &Fleet, host: &str, positions: BTreeMap<Table, ReadPosition>) {
+    let report = UsageReport {
         host: host.to_owned(),
         incarnation: 0,
         number: Number(1),
         whole: true,
-        positions: readings,
+        positions,
         ..UsageReport::default()
     };
     let url = format!("http://{}/tally", fleet.entry.address("peers"));
-    let told = client().post(&url).send_body(rmp_serde::to_vec(&tally).unwrap()).await.unwrap();
-    assert!(told.status().is_success(), "{told:?}");
+    let answer = client().post(&url).send_body(rmp_serde::to_vec(&report).unwrap()).await.unwrap();
+    assert!(answer.status().is_success(), "{answer:?}");
 }
 
-/// Tells that nothing has happened up to `version` until a line holds `text`.
-async fn tell_until(fleet: &mut Fleet, tables: &[Table], version: u64, text: &str) {
+/// Reports that nothing has changed up to `version`, until the entry has logged a line
+/// with `text`.
+async fn report_until(fleet: &mut Fleet, tables: &[Table], version: u64, text: &str) {
     until(text, async || {
-        let calm = |&table: &Table| (table, reading(version, 0, Vec::new()));
-        tell(fleet, tables.iter().map(calm).collect()).await;
+        let unchanged = |&table: &Table| (table, position(version, 0, Vec::new()));
+        report_from_readers(fleet, tables.iter().map(unchanged).collect()).await;
         fleet.entry.has_line(text).then_some(())
     })
     .await;
 }
 
-fn desk(id: &str, upstream: &Runner, version: u64) -> Instance {
+fn instance(id: &str, upstream: &Runner, version: u64) -> Instance {
     Instance {
         id: id.to_owned(),
         service: "desk".to_owned(),
@@ -94,6 +96,7 @@
     }
 }
 
+/// Returns the number of feed calls of `table` that the entry has made.
 async fn feeds(fleet: &Fleet, table: &str) -> u64 {
     let text = get(&fleet.entry, "/metrics").await;
     let name = format!("kingcupbay_store_calls_total{{call=\"feed\",table=\"{table}\"}} ");
@@ -104,67 +107,76 @@
     fleet.ask("GET", "/seats/today", attempt).await.status
 }
 
-/// Each entry read each change of each upstream: the store was called entries times
-/// changes. An entry that hears of them calls it no more, and acts on what it hears.
+/// Guards against store calls by every entry for every change of every upstream, which
+/// come to entries times changes. An entry that receives changes from readers makes no
+/// such calls, and applies the changes.
 #[actix_rt::test]
-async fn a_listener_acts_on_what_readers_tell() {
+async fn a_listener_applies_changes_that_readers_report() {
     let mut fleet = listener().await;
     let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
     // An entry admits nothing until it finds itself on the list.
     until("the list", async || (status(&fleet, "a0").await == 503).then_some(())).await;
-    tell_until(&mut fleet, &[Table::Upstreams], 100, "table=servers event=listens").await;
+    report_until(&mut fleet, &[Table::Upstreams], 100, "table=servers event=listens").await;
     let before = feeds(&fleet, "servers").await;
-    let joined =
-        TableChange { version: 105, kind: ChangeKind::Upstream(desk("desk-1", &upstream, 105)) };
-    tell(&fleet, [(Table::Upstreams, reading(110, 100, vec![joined]))].into()).await;
+    let joined = TableChange {
+        version: 105,
+        kind: ChangeKind::Upstream(instance("desk-1", &upstream, 105)),
+    };
+    report_from_readers(&fleet, [(Table::Upstreams, position(110, 100, vec![joined]))].into())
+        .await;
     assert_eq!(status(&fleet, "a1").await, 200);
     let left = TableChange { version: 115, kind: ChangeKind::UpstreamGone("desk-1".to_owned()) };
-    tell(&fleet, [(Table::Upstreams, reading(120, 110, vec![left]))].into()).await;
+    report_from_readers(&fleet, [(Table::Upstreams, position(120, 110, vec![left]))].into()).await;
     assert_eq!(status(&fleet, "a2").await, 503);
     assert_eq!(feeds(&fleet, "servers").await, before);
 }
 
-/// All readers are killed, frozen or cut off as an upstream is registered: the entries
-/// that listened to them read by themselves.
+/// All readers are killed, frozen or isolated when an upstream registers. The entries
+/// that relied on them have to read the store themselves.
 #[actix_rt::test]
-async fn a_listener_reads_once_the_readers_are_silent() {
+async fn a_listener_reads_the_store_once_readers_are_silent() {
     let mut fleet = listener().await;
     let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
     let now = version(&fleet);
-    tell_until(&mut fleet, &[Table::Upstreams], now, "table=servers event=listens").await;
+    report_until(&mut fleet, &[Table::Upstreams], now, "table=servers event=listens").await;
     fleet.register("desk-1", "desk", &upstream);
-    until("the desk", async || {
-        // Entries that say nothing at all are taken off the list.
-        tell(&fleet, BTreeMap::new()).await;
+    until("the upstream", async || {
+        // Entries that send no reports at all are removed from the list.
+        report_from_readers(&fleet, BTreeMap::new()).await;
         (status(&fleet, "a1").await == 200).then_some(())
     })
     .await;
-    // Lines come by way of a thread of their own.
+    // Lines are read by a thread of their own.
     until("the line", async || fleet.entry.has_line("table=servers event=reads").then_some(()))
         .await;
 }
 
-/// The tallies that told of an upstream got lost. Later ones, in which nothing happens,
-/// kept the entry from ever learning of it.
+/// Guards against a change that is never applied: the reports with it were lost, and
+/// later reports, without changes, must not hide that.
 #[actix_rt::test]
 async fn a_listener_that_missed_a_change_reads_it() {
     let mut fleet = listener().await;
     let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
     let now = version(&fleet);
-    tell_until(&mut fleet, &[Table::Upstreams], now, "table=servers event=listens").await;
+    report_until(&mut fleet, &[Table::Upstreams], now, "table=servers event=listens").await;
     fleet.register("desk-1", "desk", &upstream);
     let missed = version(&fleet);
-    until("the desk", async || {
-        tell(&fleet, [(Table::Upstreams, reading(missed, missed, Vec::new()))].into()).await;
+    until("the upstream", async || {
+        report_from_readers(
+            &fleet,
+            [(Table::Upstreams, position(missed, missed, Vec::new()))].into(),
+        )
+        .await;
         (status(&fleet, "a1").await == 200).then_some(())
     })
     .await;
 }
 
-/// A key is withdrawn while the listener's long feed is deaf. A reader tells that the
-/// table has changed: the deaf feed is given up at once, not at its end.
+/// A key is withdrawn while the listener's feed, which waits long, misses changes. Once
+/// a reader reports that the table has changed, the feed must be abandoned at once and
+/// not when its wait ends.
 #[actix_rt::test]
-async fn a_listener_gives_up_a_feed_that_missed_a_configuration() {
+async fn a_listener_abandons_a_feed_that_missed_a_configuration() {
     let mut fleet = listener().await;
     let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
@@ -177,24 +189,25 @@
     .await;
     fleet.store.set_deaf(true);
     let deaf = fleet.store.deaf_feeds("op");
-    tell_until(&mut fleet, &[Table::Operator], now, "table=op event=listens").await;
+    report_until(&mut fleet, &[Table::Operator], now, "table=op event=listens").await;
     until("the long feed", async || {
-        tell(&fleet, [(Table::Operator, reading(now, 0, Vec::new()))].into()).await;
+        report_from_readers(&fleet, [(Table::Operator, position(now, 0, Vec::new()))].into()).await;
         let long = fleet.store.longest_wait("op") >= 10_000;
         (long && fleet.store.deaf_feeds("op") > deaf).then_some(())
     })
     .await;
     let version = fleet.store.put("op", "config", &config(3, &["another-key"]));
     fleet.store.set_deaf(false);
-    tell(&fleet, [(Table::Operator, reading(version, version, Vec::new()))].into()).await;
+    report_from_readers(&fleet, [(Table::Operator, position(version, version, Vec::new()))].into())
+        .await;
     until("the refusal", async || (status(&fleet, "a2").await == 401).then_some(())).await;
     assert!(!fleet.entry.has_line("event=feed_deaf"));
 }
 
-/// The store is away: each table's feed kept asking it, three calls where one finds
-/// out as much.
+/// Guards against calls of an unavailable store by the feed of each table. One of the
+/// three finds out that the store is back.
 #[actix_rt::test]
-async fn one_feed_finds_out_that_the_store_is_back() {
+async fn only_one_feed_calls_an_unavailable_store() {
     let mut fleet = Fleet::start(1).await;
     let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
--- a/kingcupbayd/tests/crossed.rs
+++ b/kingcupbayd/tests/misrouted.rs
@@ -1,4 +1,4 @@
-//! Answers that come late, twice, out of order or crossed with another's.
+//! Answers that are stale, duplicate, out of order or misrouted.
 
 #![allow(clippy::unwrap_used)]
 
@@ -26,12 +26,12 @@
 };
 use serde_json::json;
 
-/// What a caller must read, whatever the upstream's daemon sends.
-const WHOLE: &str = "0 1 2 ";
+/// Text that a caller must receive, whatever the upstream's daemon sends.
+const COMPLETE: &str = "0 1 2 ";
 
-/// A daemon of an upstream that answers as the prompt says, with mistakes in
-/// the first attempt of each request.
-fn daemon_with_mistakes() -> SocketAddr {
+/// Starts an upstream's daemon that answers as the prompt says, with faults in the first
+/// attempt of each request.
+fn faulty_daemon() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -56,7 +56,7 @@
             frames.extend(bytes);
         }
     }
-    // Other paths are gossip, which this daemon does not speak.
+    // Other paths are gossip, which this daemon does not support.
     let status = if path == "/run" { "200 OK" } else { "404 Not Found" };
     let head = format!("HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n", frames.len());
     let _ = stream.write_all(&[head.as_bytes(), &frames].concat());
@@ -87,32 +87,38 @@
     };
     let frame = |request, event| Frame { request, event };
     let token = |offset, text: &str| RunEvent::Token { offset, text: text.to_owned() };
-    let own = |event| frame(run.request, event);
-    let right = |offset: u32| own(token(offset, &format!("{offset} ")));
+    let own_frame = |event| frame(run.request, event);
+    let expected = |offset: u32| own_frame(token(offset, &format!("{offset} ")));
     let mut frames = match (prompt.as_str(), attempt) {
-        ("crossed", 1) => {
+        ("misrouted", 1) => {
             let other = frame(RequestId([9; 16]), token(1, "of another request "));
-            vec![right(0), other, right(1), right(2)]
+            vec![expected(0), other, expected(1), expected(2)]
         }
-        ("doubled", 1) => {
-            vec![right(0), right(1), own(token(0, "again ")), own(token(1, "again ")), right(2)]
+        ("duplicate", 1) => {
+            vec![
+                expected(0),
+                expected(1),
+                own_frame(token(0, "again ")),
+                own_frame(token(1, "again ")),
+                expected(2),
+            ]
         }
-        ("skipped", 1) => vec![right(0), right(2)],
-        _ => (*offset..3).map(right).collect(),
+        ("missing", 1) => vec![expected(0), expected(2)],
+        _ => (*offset..3).map(expected).collect(),
     };
     let done = RunEvent::Done { reason: "length".to_owned(), usage: Usage::default() };
-    frames.push(own(done));
+    frames.push(own_frame(done));
     frames
 }
 
-/// An entry with nothing but the daemon with mistakes behind it.
+/// Starts an entry whose only upstream has the faulty daemon.
 async fn fleet() -> (Process, Process) {
     let platform = standin("platform", &[]);
     let entry = daemon("entry", "entry-1", &platform, "");
     ready(&entry).await;
     let join = Change::Join {
         host: name("crossing"),
-        address: daemon_with_mistakes().to_string(),
+        address: faulty_daemon().to_string(),
         zone: name("zone-a"),
         role: Role::Upstream,
         incarnation: 1,
@@ -130,8 +136,7 @@
     changes.push(Change::SetUpstream { upstream });
     let number = apply(&entry, &changes).await;
     knows(&entry, number).await;
-    // An organisation that has just been made may get its shares a moment
-    // later.
+    // A new organisation may get its shares a moment later.
     until("an admitted request", async || {
         (complete(&entry, "plain").await.status == 200).then_some(())
     })
@@ -146,31 +151,31 @@
     finish(ask(entry, "/v1/completions"), &body).await
 }
 
-async fn assert_whole(prompt: &str) {
+async fn assert_complete(prompt: &str) {
     let (_platform, entry) = fleet().await;
     let answer = complete(&entry, prompt).await;
-    assert_eq!((answer.status, answer.text().as_str()), (200, WHOLE), "{}", answer.body);
+    assert_eq!((answer.status, answer.text().as_str()), (200, COMPLETE), "{}", answer.body);
     assert!(answer.body.ends_with("data: [DONE]\n\n"), "{}", answer.body);
 }
 
-/// Two answers cross between an upstream's daemon and an entry: in the middle
-/// of one caller's words stand another's. Nobody may read them; the attempt
-/// cannot be trusted any further and the rest comes from the next one.
+/// Tokens of one request arrive in the middle of the answer to another. No caller may
+/// receive them; the attempt can no longer be trusted, and another attempt sends the
+/// rest.
 #[actix_rt::test]
-async fn words_of_another_request_reach_nobody() {
-    assert_whole("crossed").await;
+async fn tokens_of_another_request_are_dropped() {
+    assert_complete("misrouted").await;
 }
 
-/// A resumed stream begins before the place where it should: words that the
-/// caller has read already come again, and must not be read twice.
+/// A resumed stream begins too early and repeats tokens that the caller already has.
+/// They must not be sent to the caller twice.
 #[actix_rt::test]
-async fn words_that_come_twice_are_read_once() {
-    assert_whole("doubled").await;
+async fn duplicate_tokens_are_sent_to_the_caller_once() {
+    assert_complete("duplicate").await;
 }
 
-/// A word is missing in the middle. An answer with a gap reads like a whole
-/// one, so the attempt ends there and the next one brings the missing word.
+/// A token is missing in the middle of an answer. A caller could not notice the gap, so
+/// the attempt must end there, and another one send the missing token.
 #[actix_rt::test]
-async fn a_missing_word_is_fetched_again() {
-    assert_whole("skipped").await;
+async fn a_missing_token_is_fetched_by_another_attempt() {
+    assert_complete("missing").await;
 }
--- a/kingcupbayd/tests/registered.rs
+++ b/kingcupbayd/tests/registered.rs
@@ -17,20 +17,19 @@
 use kingcupbay_standin::{Fault, Registry, Rule, Runner, RunnerSettings};
 use serde_json::json;
 
-/// A visitor asks for seats. The desk's answer reaches them with its status,
-/// body and proof unchanged; the desk is told whose request it is and never
-/// sees the key.
+/// The upstream's answer reaches the caller with its status, body and signature
+/// unchanged. The upstream receives the organisation of the request, but never the key.
 #[actix_rt::test]
 async fn a_plain_answer_is_passed_on_unchanged() {
     let fleet = Fleet::start(1).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
-    fleet.register("desk-1", "desk", &desk);
+    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    fleet.register("desk-1", "desk", &upstream);
     fleet.ready().await;
     let extra = [("x-tenant", "another"), ("x-hold", "7"), ("x-party", "2")];
     let got = fleet.ask_with("POST", "/seats/today?at=noon", "a1", KEY, &extra).await;
     assert_eq!((got.status, got.stamp.as_deref()), (200, Some("stamp-of-a1")), "{got:?}");
     assert_eq!(got.body.unwrap(), "done by desk-1");
-    let run = &desk.runs()[0];
+    let run = &upstream.runs()[0];
     assert_eq!(
         (run.path.as_str(), run.body.as_slice()),
         ("/seats/today?at=noon", &b"a table for two"[..])
@@ -42,10 +41,10 @@
     assert!(!run.headers.contains_key("x-hold"));
 }
 
-/// Before an entry knows a configuration it cannot tell an unknown route or
-/// key from one it has not read yet, so it must not call either unknown.
+/// Before an entry has a configuration, it cannot distinguish an unknown route or key
+/// from one that it has not read yet, so it must not call either unknown.
 #[actix_rt::test]
-async fn an_entry_without_a_configuration_asks_callers_to_come_back() {
+async fn an_entry_without_a_configuration_asks_callers_to_retry() {
     let store = Registry::start(ANY).unwrap();
     let entry = entry("entry-1", &store, 1);
     let fleet = Fleet { store, entry };
@@ -54,14 +53,14 @@
     assert!(got.retry_after.is_some());
 }
 
-/// The operator withdraws a key while its holder goes on calling. As soon as
-/// the store's feed has told it, the key is refused; an older configuration
-/// that comes later, as from a slow read, does not revive it.
+/// A key is withdrawn while its holder goes on sending requests. The key is refused as
+/// soon as the store's feed has delivered the change. An older configuration that
+/// arrives later, as from a slow read, must not restore it.
 #[actix_rt::test]
 async fn a_withdrawn_key_stops_working_and_stays_withdrawn() {
     let fleet = Fleet::start(1).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
-    fleet.register("desk-1", "desk", &desk);
+    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    fleet.register("desk-1", "desk", &upstream);
     fleet.ready().await;
     assert_eq!(fleet.ask("GET", "/seats/today", "a1").await.status, 200);
     fleet.store.put("op", "config", &config(5, &["another-key"]));
@@ -79,13 +78,13 @@
     assert_eq!(fleet.ask("GET", "/seats/today", "a4").await.status, 401);
 }
 
-/// The store drops its history while an entry follows it. The feed fails, and
-/// the entry must read everything anew instead of missing what was dropped.
+/// The store drops its history while an entry follows it, and the feed fails. The entry
+/// must read every table again, or it would miss the dropped changes.
 #[actix_rt::test]
-async fn a_dropped_history_is_read_anew() {
+async fn tables_are_read_again_after_the_store_drops_its_history() {
     let fleet = Fleet::start(1).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
-    fleet.register("desk-1", "desk", &desk);
+    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    fleet.register("desk-1", "desk", &upstream);
     fleet.ready().await;
     fleet.store.put("op", "config", &config(2, &["another-key"]));
     fleet.store.forget();
@@ -96,9 +95,9 @@
     .await;
 }
 
-/// More rows than fit into one answer lie among the upstreams, with characters in
-/// their keys that a path may not hold. The desk stands behind them all and must
-/// be found.
+/// Guards against upstreams that are missed because the table does not fit into one
+/// answer, or because keys contain characters that a path may not. The upstream's row
+/// comes after all others.
 #[actix_rt::test]
 async fn rows_on_several_pages_are_all_read() {
     let store = Registry::start(ANY).unwrap();
@@ -106,57 +105,56 @@
     for row in 0..600 {
         store.put("servers", &format!("a & {row}\u{1}%"), &json!({"state": "gone"}));
     }
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
-    store.put("servers", "desk-1", &desk.registration("desk", "ready"));
+    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    store.put("servers", "desk-1", &upstream.registration("desk", "ready"));
     let entry = entry("entry-1", &store, 1);
     let fleet = Fleet { store, entry };
     fleet.ready().await;
     assert_eq!(fleet.ask("GET", "/seats/today", "a1").await.status, 200);
 }
 
-/// Another program writes a row among the upstreams that is not JSON, and one
-/// without an address. They name no upstream; the good one still serves.
+/// Another program writes a row that is not JSON and a row without an address to the
+/// table of upstreams. Neither is an upstream, and the valid row must still be served.
 #[actix_rt::test]
-async fn rows_of_other_writers_name_no_upstream() {
+async fn malformed_rows_are_ignored() {
     let fleet = Fleet::start(1).await;
     fleet.store.put_bytes("servers", "bytes", &[0xff, 0x00]);
     fleet.store.put("servers", "half", &json!({"service": "desk", "state": "ready"}));
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
-    fleet.register("desk-1", "desk", &desk);
+    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    fleet.register("desk-1", "desk", &upstream);
     fleet.ready().await;
     assert_eq!(fleet.ask("GET", "/seats/today", "a1").await.status, 200);
 }
 
-/// A booking reaches the desk, which takes the seats, and its answer is lost
-/// with the connection. Sent again it would book twice, and "not run" would be
-/// a lie, so the caller is told neither.
+/// An upstream loses the connection after it has run a request that must not run twice.
+/// The entry must neither send the request again nor answer that it did not run.
 #[actix_rt::test]
-async fn a_booking_whose_answer_is_lost_is_not_sent_again() {
+async fn a_once_only_request_whose_answer_is_lost_is_not_sent_again() {
     let fleet = Fleet::start(1).await;
-    let desks = ["desk-1", "desk-2"].map(|id| {
-        let desk = Runner::start(ANY, RunnerSettings::plain(id)).unwrap();
-        desk.server().set(Rule::new(Fault::LoseAnswer).path("/book/"));
-        fleet.register(id, "desk", &desk);
-        desk
+    let upstreams = ["desk-1", "desk-2"].map(|id| {
+        let upstream = Runner::start(ANY, RunnerSettings::plain(id)).unwrap();
+        upstream.server().set(Rule::new(Fault::LoseAnswer).path("/book/"));
+        fleet.register(id, "desk", &upstream);
+        upstream
     });
     fleet.ready().await;
     let got = fleet.ask("POST", "/book/table", "a1").await;
     assert_eq!(got.status, 502, "{got:?}");
-    let runs: usize = desks.iter().map(|desk| desk.runs().len()).sum();
+    let runs: usize = upstreams.iter().map(|upstream| upstream.runs().len()).sum();
     assert_eq!(runs, 1);
 }
 
-/// A seat lookup may run twice: when one desk loses its answer, the other is
-/// asked, and the visitor sees nothing of it.
+/// An upstream loses the connection after it has run a request that may run twice. The
+/// request is sent to another upstream, and the caller gets that answer.
 #[actix_rt::test]
-async fn a_lookup_whose_answer_is_lost_goes_to_another_desk() {
+async fn an_idempotent_request_whose_answer_is_lost_goes_to_another_upstream() {
     let fleet = Fleet::start(1).await;
-    let desks = ["desk-1", "desk-2"].map(|id| {
-        let desk = Runner::start(ANY, RunnerSettings::plain(id)).unwrap();
-        fleet.register(id, "desk", &desk);
-        desk
+    let upstreams = ["desk-1", "desk-2"].map(|id| {
+        let upstream = Runner::start(ANY, RunnerSettings::plain(id)).unwrap();
+        fleet.register(id, "desk", &upstream);
+        upstream
     });
-    desks[0].server().set(Rule::new(Fault::LoseAnswer).path("/seats/"));
+    upstreams[0].server().set(Rule::new(Fault::LoseAnswer).path("/seats/"));
     fleet.ready().await;
     for attempt in ["a1", "a2", "a3", "a4"] {
         let got = fleet.ask("GET", "/seats/today", attempt).await;
@@ -164,8 +162,9 @@
     }
 }
 
-/// Serves each connection once with `answer` and closes it; `reset` closes it
-/// with the request unread, which resets it.
+/// Starts a server that answers once on each connection with `answer` and closes it.
+/// With `reset`, it leaves part of the request unread, so that the close resets the
+/// connection.
 fn raw_upstream(answer: &'static str, reset: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -182,6 +181,7 @@
     address
 }
 
+/// Sends one request to a raw upstream and returns the caller's answer.
 async fn raw_answer(answer: &'static str, reset: bool) -> Got {
     let fleet = Fleet::start(1).await;
     let address = raw_upstream(answer, reset).to_string();
@@ -191,27 +191,27 @@
     fleet.ask("POST", "/book/table", "a1").await
 }
 
-/// A desk names no length and ends its answer by closing the connection. The
-/// library's parser takes that for an empty body: the guest would get a proper
-/// answer without its text. It must come whole.
+/// An upstream's answer has no length and ends when the connection closes. The HTTP
+/// library's parser takes its body for empty, and the caller would get a valid answer
+/// without its body.
 #[actix_rt::test]
-async fn a_body_that_ends_with_its_connection_is_whole() {
+async fn a_body_without_a_length_ends_with_its_connection() {
     let answer = "HTTP/1.1 200 OK\r\nx-attempt-id: a1\r\nx-response-stamp: s\r\n\r\ntwo seats";
     let got = raw_answer(answer, false).await;
     assert_eq!((got.status, got.body.unwrap().as_str()), (200, "two seats"));
 }
 
-/// The same answer, but its connection is reset: what came may be half of it,
-/// and a half itinerary must not look like a whole one.
+/// The same answer on a connection that is reset: the body may be truncated, and must
+/// not be passed on as complete.
 #[actix_rt::test]
-async fn a_body_whose_connection_is_reset_is_not_whole() {
+async fn a_body_whose_connection_is_reset_is_incomplete() {
     let answer = "HTTP/1.1 200 OK\r\nx-attempt-id: a1\r\nx-response-stamp: s\r\n\r\ntwo seats";
     let got = raw_answer(answer, true).await;
     assert_eq!(got.status, 502, "{got:?}");
 }
 
-/// A desk's late answer to another guest arrives where this guest's is due.
-/// Passed on, it would tell one family of another's booking.
+/// A stale answer to another request arrives before the answer to this one. Passed on,
+/// it would show one caller the data of another.
 #[actix_rt::test]
 async fn an_answer_to_another_request_is_never_passed_on() {
     let answer = "HTTP/1.1 200 OK\r\nx-attempt-id: b7\r\nx-response-stamp: s\r\n\
@@ -222,16 +222,15 @@
     assert_eq!((got.status, got.body.unwrap().as_str()), (200, "ours"));
 }
 
-/// A caller gives up while nothing comes from the desk. What was sent there must
-/// not arrive later, when the way to it is back: the entry resets the
-/// connection, which drops what the kernel still holds; a plain close would
-/// deliver it.
+/// A caller disconnects while the upstream sends nothing. What was sent there must not
+/// arrive later, once the network works again: the entry resets the connection, which
+/// discards the bytes in the kernel's buffer; a plain close would deliver them.
 #[actix_rt::test]
-async fn a_request_that_is_given_up_is_reset() {
+async fn an_abandoned_request_resets_its_connection() {
     let fleet = Fleet::start(1).await;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let (heard, came) = std::sync::mpsc::channel();
+    let (received, requests) = std::sync::mpsc::channel();
     let (ended, end) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
@@ -239,7 +238,7 @@
         let end = loop {
             match stream.read(&mut bytes) {
                 Ok(0) => break None,
-                Ok(_) => heard.send(()).unwrap(),
+                Ok(_) => received.send(()).unwrap(),
                 Err(error) => break Some(error.kind()),
             }
         };
@@ -248,26 +247,26 @@
     let row = json!({"service": "desk", "address": address, "zone": "zone-a", "state": "ready"});
     fleet.store.put("servers", "mute", &row);
     fleet.ready().await;
-    // The caller leaves once the desk has heard of its request; before that
+    // The caller disconnects once the upstream has received its request; before that,
     // nothing was sent that could arrive.
     tokio::select! {
         got = fleet.ask("POST", "/book/table", "a1") => panic!("an answer: {got:?}"),
-        () = until("the request", async || came.try_recv().ok()) => {}
+        () = until("the request", async || requests.try_recv().ok()) => {}
     }
-    let end = until("the end", async || end.try_recv().ok()).await;
+    let end = until("the end of the connection", async || end.try_recv().ok()).await;
     assert_eq!(end, Some(std::io::ErrorKind::ConnectionReset));
 }
 
-/// An entry was silent for so long that another took it off the list, and its
-/// part of every limit with it. When it is back it must be listed again, or it
-/// refuses its callers for ever.
+/// Another entry has removed this one from the list after a long silence, and with it
+/// its part of every limit. Once it is reachable again it must register again, or it
+/// refuses its callers forever.
 #[actix_rt::test]
-async fn an_entry_that_was_taken_off_the_list_comes_back() {
+async fn a_removed_entry_registers_again() {
     let fleet = Fleet::start(1).await;
     let listed = || fleet.store.keys("entries") == ["entry-1"];
     until("the registration", async || listed().then_some(())).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
-    fleet.register("desk-1", "desk", &desk);
+    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    fleet.register("desk-1", "desk", &upstream);
     fleet.ready().await;
     fleet.store.put(
         "entries",
@@ -286,17 +285,17 @@
     .await;
 }
 
-/// Two entries share an organisation's limit. What is spent at one counts at
-/// the other: together they let no more through than the burst and the rate.
+/// What is spent at one entry counts at the other: together they must admit no more than
+/// the burst and the rate.
 #[actix_rt::test]
-async fn two_entries_count_one_limit() {
+async fn two_entries_share_one_limit() {
     let store = Registry::start(ANY).unwrap();
     let mut limited = config(1, &[KEY]);
     limited["tenants"][0]["ratePerS"] = json!(1);
     limited["tenants"][0]["burst"] = json!(1_000);
     store.put("op", "config", &limited);
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
-    store.put("servers", "desk-1", &desk.registration("desk", "ready"));
+    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    store.put("servers", "desk-1", &upstream.registration("desk", "ready"));
     let fleets: Vec<Fleet> = ["entry-1", "entry-2"]
         .into_iter()
         .map(|host| Fleet { store: Registry::start(ANY).unwrap(), entry: entry(host, &store, 1) })
@@ -316,22 +315,21 @@
         }
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
-    // Ten requests of 100 tokens are the burst; each entry may spend one more
-    // on what the other's next tally would have told it.
+    // The burst is ten requests of 100 tokens. Each entry may admit one more before the
+    // other's next usage report arrives.
     assert!((8..=12).contains(&served), "{served}");
 }
 
-/// A booking goes to a desk that said three seconds ago that it leaves. The store
-/// drops its history; the entry reads everything again and begins its feeds
-/// while the store is still busy with that. Such a feed is told of nothing until
-/// its wait is over, so the wait decides how long the entry does not know.
+/// The store drops its history, and the entry begins its feeds while the store is still
+/// busy. Such a feed misses changes until its wait ends, so the wait bounds how long the
+/// entry sends requests to an upstream that is leaving.
 #[actix_rt::test]
-async fn a_deaf_feed_tells_of_a_leaving_upstream_at_the_end_of_a_short_wait() {
-    /// Within this an upstream that leaves must get nothing new.
+async fn a_feed_that_missed_a_departure_reports_it_when_its_wait_ends() {
+    /// Time within which an upstream that leaves must get no new requests.
     const LEAVING_MS: u64 = 2_000;
     let fleet = Fleet::start(1).await;
-    let desk = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
-    fleet.register("desk-1", "desk", &desk);
+    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    fleet.register("desk-1", "desk", &upstream);
     fleet.ready().await;
     fleet.store.set_deaf(true);
     fleet.store.forget();
@@ -342,8 +340,8 @@
     })
     .await;
     fleet.store.set_deaf(false);
-    fleet.store.put("servers", "desk-1", &desk.registration("desk", "draining"));
-    until("no more bookings at the desk", async || {
+    fleet.store.put("servers", "desk-1", &upstream.registration("desk", "draining"));
+    until("no more requests to the upstream", async || {
         (fleet.ask("GET", "/seats/today", "a1").await.status == 503).then_some(())
     })
     .await;
--- a/kingcupbayd/tests/streams.rs
+++ b/kingcupbayd/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of a registered fleet: adapters, resumption, callers that leave.
+//! Streams of a registered fleet: adapters, resumption, callers that disconnect.
 
 #![allow(clippy::unwrap_used)]
 
@@ -18,12 +18,12 @@
 use kingcupbay_standin::{Registry, Runner, RunnerSettings};
 use serde_json::json;
 
-/// A tour driver asks for an itinerary by an adapter that no engine holds. The
-/// daemon beside the engine has it loaded, and the request names the version
-/// that came, so that no other can run it.
+/// A request names an adapter that is resident on no engine. The sidecar has the engine
+/// load it, and the request is sent with the version that was loaded, so that no other
+/// version can run it.
 #[actix_rt::test]
-async fn a_cold_adapter_is_loaded_and_its_version_named() {
-    let (fleet, engine, _beside) = engine_fleet(RunnerSettings::engine("gpu-1", 4)).await;
+async fn a_nonresident_adapter_is_loaded_and_its_version_sent() {
+    let (fleet, engine, _sidecar) = engine_fleet(RunnerSettings::engine("gpu-1", 4)).await;
     let got = tour(&fleet, "a1", None).await;
     assert_eq!((got.status, ids(got.body.as_ref().unwrap())), (200, vec![1, 2, 3, 4]));
     let orders = engine.orders();
@@ -33,13 +33,13 @@
     assert_eq!(engine.runs()[0].headers["x-expect-version"], "1");
 }
 
-/// Whoever is on call finds how long places were waited for, what was ordered
-/// and how long streams stood still on the metrics addresses of both daemons.
+/// The metrics of both daemons must show the waits for permits, the orders to the engine
+/// and the pauses between events.
 #[actix_rt::test]
-async fn both_daemons_count_what_became_of_a_stream() {
-    let (fleet, _engine, beside) = engine_fleet(RunnerSettings::engine("gpu-1", 4)).await;
+async fn entry_and_sidecar_count_a_stream() {
+    let (fleet, _engine, sidecar) = engine_fleet(RunnerSettings::engine("gpu-1", 4)).await;
     assert_eq!(tour(&fleet, "a1", None).await.status, 200);
-    let counts = get(&beside, "/metrics").await;
+    let counts = get(&sidecar, "/metrics").await;
     for line in [
         "kingcupbay_places_total{verdict=\"granted\"} 1",
         "kingcupbay_place_wait_seconds_count{verdict=\"granted\"} 1",
@@ -52,11 +52,11 @@
     assert!(counts.contains(line), "no {line} in\n{counts}");
 }
 
-/// A stream has ended whole. Its connection carries the next one; a new one for
-/// each would cost the engine a handshake and a slot for its time.
+/// Guards against a new connection for each stream, which would cost the engine a
+/// handshake and occupy another connection.
 #[actix_rt::test]
-async fn a_whole_stream_leaves_its_connection_for_the_next() {
-    let (fleet, engine, _beside) = engine_fleet(RunnerSettings::engine("gpu-1", 2)).await;
+async fn a_complete_stream_keeps_its_connection_for_the_next() {
+    let (fleet, engine, _sidecar) = engine_fleet(RunnerSettings::engine("gpu-1", 2)).await;
     assert_eq!(tour(&fleet, "a1", None).await.status, 200);
     let before = engine.server().connections();
     assert_eq!(tour(&fleet, "a2", None).await.status, 200);
@@ -64,11 +64,11 @@
     assert_eq!(engine.runs().len(), 2);
 }
 
-/// A new version of an adapter is announced while the old one is loaded and
-/// idle. The next visitor must be answered by the new one.
+/// A new version of an adapter is announced while the old one is loaded and idle. The
+/// next request must run on the new version.
 #[actix_rt::test]
 async fn an_announced_version_replaces_the_old_one() {
-    let (fleet, engine, _beside) = engine_fleet(RunnerSettings::engine("gpu-1", 2)).await;
+    let (fleet, engine, _sidecar) = engine_fleet(RunnerSettings::engine("gpu-1", 2)).await;
     assert_eq!(tour(&fleet, "a1", None).await.status, 200);
     engine.announce("roses", 2);
     let row = json!({"model": "base", "adapter": "roses", "version": 2});
@@ -81,16 +81,16 @@
     .await;
 }
 
-/// Address of a second host. Each process of tests has its own: the port that a
-/// daemon has to take there is chosen by what another host got, so at a shared
-/// address somebody else may hold it.
+/// Returns the address of a second host, different for each test process. The second
+/// sidecar must listen on the port that the first one got, which another process may use
+/// at a shared address.
 fn second_host() -> IpAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, 1 + (high & 0x7f), low, 2).into()
 }
 
-/// The daemon beside a second engine listens where the entry looks for it: at
-/// that engine's address, at the port of the first.
+/// Starts the sidecar of a second engine where the entry expects it: at that engine's
+/// address, on the port of the first sidecar.
 fn second_sidecar(store: &Registry, engine: &Runner, port: u16) -> Process {
     let text = settings(
         "upstream",
@@ -108,19 +108,19 @@
     process
 }
 
-/// An engine breaks a stream off in its middle. Another one goes on after the
-/// last whole event, and the caller gets each event once.
+/// An engine closes the connection in the middle of a stream. Another engine must resume
+/// after the last whole event, and the caller must get each event once.
 #[actix_rt::test]
 async fn a_broken_stream_goes_on_at_another_engine() {
     let cut = |id| RunnerSettings { cut: Some(3), ..RunnerSettings::engine(id, 6) };
-    let (mut fleet, first, mut beside) = engine_fleet(cut("gpu-1")).await;
+    let (mut fleet, first, mut sidecar) = engine_fleet(cut("gpu-1")).await;
     let second = Runner::start(SocketAddr::new(second_host(), 0), cut("gpu-2")).unwrap();
-    let mut other = second_sidecar(&fleet.store, &second, beside.address("peers").port());
+    let mut other_sidecar = second_sidecar(&fleet.store, &second, sidecar.address("peers").port());
     fleet.register("gpu-2", "writer", &second);
     until("both engines", async || {
         let known = fleet.entry.has_line("id=gpu-2");
-        let asked = beside.has_line("event=report") && other.has_line("event=report");
-        (known && asked).then_some(())
+        let reported = sidecar.has_line("event=report") && other_sidecar.has_line("event=report");
+        (known && reported).then_some(())
     })
     .await;
     let got = tour(&fleet, "a1", None).await;
@@ -128,24 +128,24 @@
     let begun: Vec<_> =
         runs.iter().map(|run| (&run.attempt, run.headers.get("last-event-id"))).collect();
     fleet.entry.has_line("event=streamed");
-    let story = format!("{got:?}, runs {begun:?}, lines\n{}", fleet.entry.seen.join("\n"));
-    assert_eq!(got.status, 200, "{story}");
+    let report = format!("{got:?}, runs {begun:?}, lines\n{}", fleet.entry.seen.join("\n"));
+    assert_eq!(got.status, 200, "{report}");
     let ids = got.body.as_deref().map(ids);
-    assert_eq!(ids, Ok(vec![1, 2, 3, 4, 5, 6]), "{story}");
-    assert_eq!(runs.len(), 2, "{story}");
+    assert_eq!(ids, Ok(vec![1, 2, 3, 4, 5, 6]), "{report}");
+    assert_eq!(runs.len(), 2, "{report}");
     let resumed = runs.iter().filter_map(|run| run.headers.get("last-event-id"));
-    assert_eq!(resumed.collect::<Vec<_>>(), ["3"], "{story}");
+    assert_eq!(resumed.collect::<Vec<_>>(), ["3"], "{report}");
 }
 
-/// A caller closes its connection in the middle of a stream. The engine must
-/// be told at once, or it works on for nobody.
+/// A caller disconnects in the middle of a stream. The engine must be disconnected at
+/// once, or it goes on generating for nobody.
 #[actix_rt::test]
-async fn a_caller_that_leaves_ends_the_engines_run() {
+async fn a_caller_that_disconnects_stops_the_engine() {
     let slow = RunnerSettings {
         pause: Duration::from_millis(50),
         ..RunnerSettings::engine("gpu-1", 100_000)
     };
-    let (fleet, engine, _beside) = engine_fleet(slow).await;
+    let (fleet, engine, _sidecar) = engine_fleet(slow).await;
     let url = format!("http://{}/tour/day", fleet.entry.address("callers"));
     for attempt in 0..200 {
         let request = client()
@@ -166,14 +166,14 @@
     tokio::time::timeout(PATIENCE, engine.left(1)).await.unwrap();
 }
 
-/// The platform stops an entry. It says at once that it is not ready, lets the
-/// running stream end whole, and only then goes.
+/// An entry is stopped. It must report at once that it is not ready, let the running
+/// stream complete, and only then exit.
 #[actix_rt::test]
-async fn a_planned_stop_cuts_no_stream() {
+async fn a_planned_stop_lets_streams_complete() {
     let slow =
         RunnerSettings { pause: Duration::from_millis(20), ..RunnerSettings::engine("gpu-1", 60) };
-    let (fleet, engine, _beside) = engine_fleet(slow).await;
-    let asked = tour(&fleet, "a1", None);
+    let (fleet, engine, _sidecar) = engine_fleet(slow).await;
+    let answer = tour(&fleet, "a1", None);
     let stopped = async {
         engine.ran(1).await;
         fleet.entry.signal("-TERM");
@@ -184,7 +184,7 @@
         })
         .await;
     };
-    let (got, ()) = tokio::join!(asked, stopped);
+    let (got, ()) = tokio::join!(answer, stopped);
     assert_eq!(ids(&got.body.unwrap()).len(), 60);
     let (ok, lines) = fleet.entry.wait();
     assert!(ok, "{}", lines.join("\n"));
--- a/kingcupbayd/tests/cut.rs
+++ b/kingcupbayd/tests/truncated.rs
@@ -1,4 +1,4 @@
-//! A plain service's answer that breaks off midway is never taken for whole.
+//! A plain service's truncated answer is never passed on as complete.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,7 +16,7 @@
 };
 use serde_json::json;
 
-/// A service that answers every call with `answer` and closes.
+/// Starts a service that answers every call with `answer` and closes the connection.
 fn service(answer: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -30,11 +30,11 @@
     address
 }
 
-/// The judging service's host dies while it writes a verdict: the connection
-/// ends after half of it, and the client library reports a normal end. A
-/// steward must not read half a verdict as if it were the whole.
+/// A service's host fails while it writes an answer: the connection ends after half of
+/// it, and the client library reports a normal end. The caller must not get half an
+/// answer as if it were complete.
 #[actix_rt::test]
-async fn half_an_answer_is_a_failure_that_ran() {
+async fn a_truncated_answer_is_a_failure_that_ran() {
     let announced = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n\
         content-length: 40\r\n\r\n{\"verdict\": \"first pr";
     let chunked = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n\
@@ -60,7 +60,7 @@
     }
 }
 
-/// A service at `address` with a repeatable route and a once-only one.
+/// Returns a service at `address` with a repeatable route and a once-only route.
 fn route(text: &str, address: SocketAddr) -> Vec<Change> {
     let upstream = Upstream {
         name: name(text),
