--- a/kingcupbay_standin/src/service.rs
+++ b/kingcupbay_standin/src/service.rs
@@ -1,6 +1,7 @@
-//! A plain service: `POST /call/PATH` executes, `GET /executions` counts.
+//! Stand-in for a plain service.
 //!
-//! It does not deduplicate: a call repeated with the same idempotency key
+//! `POST /call/PATH` executes a call, `GET /executions` returns the counts. It
+//! does not deduplicate: a call repeated with the same idempotency key
 //! executes again, and the counts show it.
 
 use std::{cell::RefCell, collections::BTreeMap, io, net::SocketAddr, rc::Rc};
@@ -10,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    changes::{Changes, until},
+    changes::{Changes, wait_until},
     server::{
         Behaviour, Handler, Server,
         call::{self, Call},
@@ -23,20 +24,20 @@
 /// Header that carries the caller's idempotency key.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
-/// Executions counted since the start.
+/// Counts of executions since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Executions {
-    /// All of them.
+pub struct ExecutionCounts {
+    /// All executions.
     pub total: u64,
-    /// By idempotency key; calls without one are only in `total`.
+    /// Executions by idempotency key; calls without one count only in `total`.
     pub keys: BTreeMap<String, u64>,
 }
 
-/// The JSON answer to a call.
+/// JSON answer to a call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Executed {
+pub struct Execution {
     /// Path below [`CALL_PATH`].
     pub path: String,
     /// Number of this execution, from 1.
@@ -55,37 +56,38 @@
 
 #[derive(Default)]
 struct State {
-    executions: RefCell<Executions>,
+    executions: RefCell<ExecutionCounts>,
     changes: Changes,
 }
 
 impl PlainService {
-    /// Starts a service on `address`, on the current thread.
+    /// Starts a service on `address`, on the current thread. Fails
+    /// when the address cannot be bound.
     pub fn start(address: SocketAddr) -> io::Result<PlainService> {
         let state = Rc::<State>::default();
         let server = Server::start(address, Behaviour::new(handler(&state)))?;
         Ok(PlainService { server, state })
     }
 
-    /// The server under it.
+    /// Returns the HTTP server of this stand-in.
     pub fn server(&self) -> &Server {
         &self.server
     }
 
-    /// The server under it, to open its control address.
+    /// Returns the HTTP server mutably, to open its control address.
     pub fn server_mut(&mut self) -> &mut Server {
         &mut self.server
     }
 
-    /// What it executed.
-    pub fn executions(&self) -> Executions {
+    /// Returns the counts of executions.
+    pub fn executions(&self) -> ExecutionCounts {
         self.state.executions.borrow().clone()
     }
 
-    /// Waits until it has executed this many calls.
-    pub async fn executed(&self, total: u64) {
+    /// Waits until at least this many calls have been executed.
+    pub async fn wait_for_executions(&self, total: u64) {
         let state = &self.state;
-        until(state.changes.subscribe(), || state.executions.borrow().total >= total).await;
+        wait_until(state.changes.subscribe(), || state.executions.borrow().total >= total).await;
     }
 }
 
@@ -103,7 +105,7 @@
     })
 }
 
-fn execute(state: &State, path: &str, call: &Call) -> Executed {
+fn execute(state: &State, path: &str, call: &Call) -> Execution {
     let mut counts = state.executions.borrow_mut();
     let key = call.headers.get(IDEMPOTENCY_HEADER);
     let key = key.map(|key| String::from_utf8_lossy(key.as_bytes()).into_owned());
@@ -112,7 +114,7 @@
         *counts.keys.entry(key.clone()).or_default() += 1;
     }
     state.changes.notify();
-    Executed {
+    Execution {
         path: path.to_owned(),
         execution: counts.total,
         key,
--- a/kingcupbayd/tests/peer_reports.rs
+++ b/kingcupbayd/tests/peer_reports.rs
@@ -12,7 +12,7 @@
     until,
 };
 use kingcupbay_core::{id::Number, wire::usage::UsageReport};
-use kingcupbay_standin::{Fault, FaultOrder, Registry, Rule, Runner, RunnerSettings};
+use kingcupbay_standin::{Fault, FaultOrder, Registry, Rule, UpstreamServer, UpstreamSettings};
 use serde_json::json;
 
 /// Starts an entry on `host` that follows a store of its own, which holds `config(1)`.
@@ -50,13 +50,13 @@
 #[actix_rt::test]
 async fn an_entry_without_the_store_learns_of_departures() {
     let [mut isolated, other] = two_entries();
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     for fleet in [&isolated, &other] {
         fleet.register("desk-1", "desk", &upstream);
         fleet.ready().await;
     }
     assert_eq!(isolated.ask("GET", "/seats/today", "a1").await.status, 200);
-    isolated.store.server().set(Rule::new(Fault::Silent));
+    isolated.store.server().add_rule(Rule::new(Fault::Silent));
     // The two stores count versions separately. The removal must be newer than what it
     // removes.
     for round in 0..20 {
@@ -72,7 +72,7 @@
     })
     .await;
     isolated.store.remove("servers", "desk-1");
-    isolated.store.server().order(FaultOrder::ClearAll);
+    isolated.store.server().apply(FaultOrder::ClearAll);
     until("the list after the outage", async || {
         isolated.entry.has_line("after_outage=true").then_some(())
     })
@@ -92,7 +92,7 @@
         entry_with_own_store("entry-3"),
     ];
     let [first, second, third] = &fleets;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     third.register("desk-1", "desk", &upstream);
     third.ready().await;
     list_entry(first, "entry-2", second);
@@ -113,7 +113,7 @@
 #[actix_rt::test]
 async fn an_entry_with_an_old_configuration_asks_callers_to_retry() {
     let fleet = Fleet::start(1).await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
     fleet.ready().await;
     assert_eq!(fleet.ask_with("GET", "/seats/today", "a1", "new-key", &[]).await.status, 401);
@@ -148,18 +148,18 @@
 async fn a_listed_upstream_is_preferred_to_a_missing_one() {
     let mut fleet = Fleet::start(1).await;
     let upstreams = ["desk-1", "desk-2"].map(|id| {
-        let upstream = Runner::start(ANY, RunnerSettings::plain(id)).unwrap();
+        let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain(id)).unwrap();
         fleet.register(id, "desk", &upstream);
         upstream
     });
     fleet.ready().await;
-    fleet.store.server().set(Rule::new(Fault::Silent));
+    fleet.store.server().add_rule(Rule::new(Fault::Silent));
     until("the lost feed", async || {
         fleet.entry.has_line("table=servers event=feed_lost").then_some(())
     })
     .await;
     fleet.store.remove("servers", "desk-1");
-    fleet.store.server().order(FaultOrder::ClearAll);
+    fleet.store.server().apply(FaultOrder::ClearAll);
     until("the list after the outage", async || {
         fleet.entry.has_line("after_outage=true").then_some(())
     })
--- a/kingcupbayd/tests/registered.rs
+++ b/kingcupbayd/tests/registered.rs
@@ -14,7 +14,7 @@
     registered::{ANY, Fleet, Got, KEY, config, entry},
     until,
 };
-use kingcupbay_standin::{Fault, Registry, Rule, Runner, RunnerSettings};
+use kingcupbay_standin::{Fault, Registry, Rule, UpstreamServer, UpstreamSettings};
 use serde_json::json;
 
 /// The upstream's answer reaches the caller with its status, body and signature
@@ -22,7 +22,7 @@
 #[actix_rt::test]
 async fn a_plain_answer_is_passed_on_unchanged() {
     let fleet = Fleet::start(1).await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
     fleet.ready().await;
     let extra = [("x-tenant", "another"), ("x-hold", "7"), ("x-party", "2")];
@@ -59,7 +59,7 @@
 #[actix_rt::test]
 async fn a_withdrawn_key_stops_working_and_stays_withdrawn() {
     let fleet = Fleet::start(1).await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
     fleet.ready().await;
     assert_eq!(fleet.ask("GET", "/seats/today", "a1").await.status, 200);
@@ -83,11 +83,11 @@
 #[actix_rt::test]
 async fn tables_are_read_again_after_the_store_drops_its_history() {
     let fleet = Fleet::start(1).await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
     fleet.ready().await;
     fleet.store.put("op", "config", &config(2, &["another-key"]));
-    fleet.store.forget();
+    fleet.store.drop_history();
     until("the new key", async || {
         let got = fleet.ask_with("GET", "/seats/today", "a1", "another-key", &[]).await;
         (got.status == 200).then_some(())
@@ -105,7 +105,7 @@
     for row in 0..600 {
         store.put("servers", &format!("a & {row}\u{1}%"), &json!({"state": "gone"}));
     }
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     store.put("servers", "desk-1", &upstream.registration("desk", "ready"));
     let entry = entry("entry-1", &store, 1);
     let fleet = Fleet { store, entry };
@@ -120,7 +120,7 @@
     let fleet = Fleet::start(1).await;
     fleet.store.put_bytes("servers", "bytes", &[0xff, 0x00]);
     fleet.store.put("servers", "half", &json!({"service": "desk", "state": "ready"}));
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
     fleet.ready().await;
     assert_eq!(fleet.ask("GET", "/seats/today", "a1").await.status, 200);
@@ -132,8 +132,8 @@
 async fn a_once_only_request_whose_answer_is_lost_is_not_sent_again() {
     let fleet = Fleet::start(1).await;
     let upstreams = ["desk-1", "desk-2"].map(|id| {
-        let upstream = Runner::start(ANY, RunnerSettings::plain(id)).unwrap();
-        upstream.server().set(Rule::new(Fault::LoseAnswer).path("/book/"));
+        let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain(id)).unwrap();
+        upstream.server().add_rule(Rule::new(Fault::LoseAnswer).path("/book/"));
         fleet.register(id, "desk", &upstream);
         upstream
     });
@@ -150,11 +150,11 @@
 async fn an_idempotent_request_whose_answer_is_lost_goes_to_another_upstream() {
     let fleet = Fleet::start(1).await;
     let upstreams = ["desk-1", "desk-2"].map(|id| {
-        let upstream = Runner::start(ANY, RunnerSettings::plain(id)).unwrap();
+        let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain(id)).unwrap();
         fleet.register(id, "desk", &upstream);
         upstream
     });
-    upstreams[0].server().set(Rule::new(Fault::LoseAnswer).path("/seats/"));
+    upstreams[0].server().add_rule(Rule::new(Fault::LoseAnswer).path("/seats/"));
     fleet.ready().await;
     for attempt in ["a1", "a2", "a3", "a4"] {
         let got = fleet.ask("GET", "/seats/today", attempt).await;
@@ -265,7 +265,7 @@
     let fleet = Fleet::start(1).await;
     let listed = || fleet.store.keys("entries") == ["entry-1"];
     until("the registration", async || listed().then_some(())).await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
     fleet.ready().await;
     fleet.store.put(
@@ -294,7 +294,7 @@
     limited["tenants"][0]["ratePerS"] = json!(1);
     limited["tenants"][0]["burst"] = json!(1_000);
     store.put("op", "config", &limited);
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     store.put("servers", "desk-1", &upstream.registration("desk", "ready"));
     let fleets: Vec<Fleet> = ["entry-1", "entry-2"]
         .into_iter()
@@ -328,18 +328,18 @@
     /// Time within which an upstream that leaves must get no new requests.
     const LEAVING_MS: u64 = 2_000;
     let fleet = Fleet::start(1).await;
-    let upstream = Runner::start(ANY, RunnerSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
     fleet.ready().await;
-    fleet.store.set_deaf(true);
-    fleet.store.forget();
-    until("deaf feeds", async || {
+    fleet.store.set_feeds_delayed(true);
+    fleet.store.drop_history();
+    until("delayed feeds", async || {
         let all =
-            ["op", "servers", "entries"].iter().all(|table| fleet.store.deaf_feeds(table) > 0);
+            ["op", "servers", "entries"].iter().all(|table| fleet.store.delayed_feeds(table) > 0);
         all.then_some(())
     })
     .await;
-    fleet.store.set_deaf(false);
+    fleet.store.set_feeds_delayed(false);
     fleet.store.put("servers", "desk-1", &upstream.registration("desk", "draining"));
     until("no more requests to the upstream", async || {
         (fleet.ask("GET", "/seats/today", "a1").await.status == 503).then_some(())
