--- a/kingcupbayd/src/registered/start.rs
+++ b/kingcupbayd/src/registered/start.rs
@@ -131,14 +131,14 @@
 /// Stops as planned: readiness fails first, then running requests finish.
 async fn shut_down(node: &Rc<Node>) {
     let log = &node.log;
-    info!(log, ""; "event" => "stopping", "connections" => node.drain.open());
+    info!(log, ""; "event" => "stopping", "connections" => node.drain.open_connections());
     node.drain.advance(Phase::Leaving);
     if node.settings.daemon.role == Role::Entry {
         tokio::time::sleep(LEAVING_TIME.into()).await;
         node.drain.advance(Phase::Closing);
         let limit = node.registry.grace.saturating_sub(LEAVING_TIME).saturating_sub(GRACE_MARGIN);
-        let whole = tokio::time::timeout(limit.into(), node.drain.idle()).await.is_ok();
-        let cut = node.drain.open();
+        let whole = tokio::time::timeout(limit.into(), node.drain.wait_until_idle()).await.is_ok();
+        let cut = node.drain.open_connections();
         info!(log, ""; "event" => "stopped", "whole" => whole, "cut" => cut);
     } else {
         info!(log, ""; "event" => "stopped");
--- a/kingcupbayd/src/upstream/call.rs
+++ b/kingcupbayd/src/upstream/call.rs
@@ -13,7 +13,7 @@
 use super::{Upstream, once, run::check_run};
 use crate::{
     clock,
-    http::{body, client::never_left},
+    http::{body, client::is_unsent},
 };
 
 /// Longest answer body of a service.
@@ -78,9 +78,8 @@
     let sent = request(&client, row, path, idempotency).send_body(body).await;
     let mut response = sent.map_err(|error| send_failure(&error))?;
     let status = response.status().as_u16();
-    let body = body::whole(&mut response, MAX_ANSWER_BYTES).await.map_err(|error| Failure {
-        ran: Ran::Ran,
-        ..Failure::not_run(Code::UpstreamFailed, error.to_string())
+    let body = body::read_whole(&mut response, MAX_ANSWER_BYTES).await.map_err(|error| {
+        Failure { ran: Ran::Ran, ..Failure::not_run(Code::UpstreamFailed, error.to_string()) }
     })?;
     Ok(RunEvent::Called { status, body: body.to_vec(), replayed: false })
 }
@@ -103,6 +102,6 @@
 /// Converts an error of sending into a failure; the call may have run unless it
 /// never left.
 fn send_failure(error: &awc::error::SendRequestError) -> Failure {
-    let ran = if never_left(error) { Ran::NotRun } else { Ran::Unknown };
+    let ran = if is_unsent(error) { Ran::NotRun } else { Ran::Unknown };
     Failure { ran, ..Failure::not_run(Code::UpstreamFailed, error.to_string()) }
 }
--- a/kingcupbayd/src/upstream/engine.rs
+++ b/kingcupbayd/src/upstream/engine.rs
@@ -19,7 +19,7 @@
 
 use crate::http::{
     body,
-    client::{Clients, never_left},
+    client::{Clients, is_unsent},
 };
 
 /// Longest line, in bytes, of an engine's event stream.
@@ -113,7 +113,7 @@
         // by closing its connection.
         if self.complete {
             let lines = std::mem::replace(&mut self.lines, Box::pin(stream::empty()));
-            actix_rt::spawn(body::exhaust(lines));
+            actix_rt::spawn(body::drain(lines));
         }
     }
 }
@@ -189,7 +189,7 @@
 /// Converts an error of sending; the engine may have acted unless the request
 /// never left.
 fn send_error(error: awc::error::SendRequestError) -> EngineError {
-    match never_left(&error) {
+    match is_unsent(&error) {
         true => EngineError::Unreachable(error.to_string()),
         false => EngineError::Broken(error.to_string()),
     }
--- a/kingcupbayd/src/upstream/once.rs
+++ b/kingcupbayd/src/upstream/once.rs
@@ -32,7 +32,7 @@
 use crate::{
     clock,
     entry::new_request_id,
-    http::{body, client::never_left},
+    http::{body, client::is_unsent},
     server::drain::Phase,
     store::table::TableError,
 };
@@ -115,7 +115,7 @@
 async fn run_attempt(once: OnceCall, attempt: Attempt, caller: oneshot::Sender<Answer>) {
     // A planned stop waits for this attempt, also when the entry has
     // disconnected.
-    let running = once.upstream.drain.connection();
+    let running = once.upstream.drain.track_connection();
     let mut caller = Some(caller);
     let (mut claim, actions) = Claim::start(attempt);
     let mut actions = VecDeque::from(actions);
@@ -226,11 +226,11 @@
         let request = call::request(&client, row, &call.path, Some(&call.idempotency));
         let mut response = match request.send_body(call.body.clone()).await {
             Ok(response) => response,
-            Err(error) if never_left(&error) => return vec![Event::NotSent],
+            Err(error) if is_unsent(&error) => return vec![Event::NotSent],
             Err(_) => return vec![Event::ServiceLost],
         };
         let status = response.status().as_u16();
-        let answered = match body::whole(&mut response, call::MAX_ANSWER_BYTES).await {
+        let answered = match body::read_whole(&mut response, call::MAX_ANSWER_BYTES).await {
             Ok(body) => Event::ServiceAnswered(Outcome { status, body: Some(body.to_vec()) }),
             Err(_) => Event::ServiceLost,
         };
--- a/kingcupbayd/src/upstream/run.rs
+++ b/kingcupbayd/src/upstream/run.rs
@@ -25,7 +25,7 @@
     runner::Permit,
 };
 use crate::{
-    active::Entered,
+    active::ActiveGuard,
     clock,
     http::{body, reply},
     server::drain::Phase,
@@ -110,7 +110,7 @@
     /// Whether the final log line has not been written yet.
     unlogged: bool,
     model: String,
-    entered: Entered,
+    entered: ActiveGuard,
 }
 
 impl RunStream {
--- a/kingcupbayd/tests/listen.rs
+++ b/kingcupbayd/tests/listen.rs
@@ -8,9 +8,9 @@
 use std::collections::BTreeMap;
 
 use common::{
-    client, get,
-    registered::{ANY, Fleet, KEY, config},
-    until,
+    client, get_text,
+    registered::{ANY_PORT, Fleet, KEY, config_row},
+    wait_until,
 };
 use kingcupbay_core::{
     deployment::model::Instance,
@@ -73,7 +73,7 @@
 /// Reports that nothing has changed up to `version`, until the entry has logged a line
 /// with `text`.
 async fn report_until(fleet: &mut Fleet, tables: &[Table], version: u64, text: &str) {
-    until(text, async || {
+    wait_until(text, async || {
         let unchanged = |&table: &Table| (table, position(version, 0, Vec::new()));
         report_from_readers(fleet, tables.iter().map(unchanged).collect()).await;
         fleet.entry.has_line(text).then_some(())
@@ -98,13 +98,13 @@
 
 /// Returns the number of feed calls of `table` that the entry has made.
 async fn feeds(fleet: &Fleet, table: &str) -> u64 {
-    let text = get(&fleet.entry, "/metrics").await;
+    let text = get_text(&fleet.entry, "/metrics").await;
     let name = format!("kingcupbay_store_calls_total{{call=\"feed\",table=\"{table}\"}} ");
     text.lines().find_map(|line| line.strip_prefix(&name)?.parse().ok()).unwrap_or_default()
 }
 
 async fn status(fleet: &Fleet, attempt: &str) -> u16 {
-    fleet.ask("GET", "/seats/today", attempt).await.status
+    fleet.send("GET", "/seats/today", attempt).await.status
 }
 
 /// Guards against store calls by every entry for every change of every upstream, which
@@ -113,9 +113,9 @@
 #[actix_rt::test]
 async fn a_listener_applies_changes_that_readers_report() {
     let mut fleet = listener().await;
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     // An entry admits nothing until it finds itself on the list.
-    until("the list", async || (status(&fleet, "a0").await == 503).then_some(())).await;
+    wait_until("the list", async || (status(&fleet, "a0").await == 503).then_some(())).await;
     report_until(&mut fleet, &[Table::Upstreams], 100, "table=servers event=listens").await;
     let before = feeds(&fleet, "servers").await;
     let joined = TableChange {
@@ -136,19 +136,21 @@
 #[actix_rt::test]
 async fn a_listener_reads_the_store_once_readers_are_silent() {
     let mut fleet = listener().await;
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     let now = version(&fleet);
     report_until(&mut fleet, &[Table::Upstreams], now, "table=servers event=listens").await;
     fleet.register("desk-1", "desk", &upstream);
-    until("the upstream", async || {
+    wait_until("the upstream", async || {
         // Entries that send no reports at all are removed from the list.
         report_from_readers(&fleet, BTreeMap::new()).await;
         (status(&fleet, "a1").await == 200).then_some(())
     })
     .await;
     // Lines are read by a thread of their own.
-    until("the line", async || fleet.entry.has_line("table=servers event=reads").then_some(()))
-        .await;
+    wait_until("the line", async || {
+        fleet.entry.has_line("table=servers event=reads").then_some(())
+    })
+    .await;
 }
 
 /// Guards against a change that is never applied: the reports with it were lost, and
@@ -156,12 +158,12 @@
 #[actix_rt::test]
 async fn a_listener_that_missed_a_change_reads_it() {
     let mut fleet = listener().await;
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     let now = version(&fleet);
     report_until(&mut fleet, &[Table::Upstreams], now, "table=servers event=listens").await;
     fleet.register("desk-1", "desk", &upstream);
     let missed = version(&fleet);
-    until("the upstream", async || {
+    wait_until("the upstream", async || {
         report_from_readers(
             &fleet,
             [(Table::Upstreams, position(missed, missed, Vec::new()))].into(),
@@ -178,29 +180,29 @@
 #[actix_rt::test]
 async fn a_listener_abandons_a_feed_that_missed_a_configuration() {
     let mut fleet = listener().await;
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
     // An entry admits nothing until it finds itself on the list.
-    until("an answer", async || (status(&fleet, "a1").await == 200).then_some(())).await;
-    let now = fleet.store.put("op", "config", &config(2, &[KEY]));
-    until("the configuration", async || {
+    wait_until("an answer", async || (status(&fleet, "a1").await == 200).then_some(())).await;
+    let now = fleet.store.put("op", "config", &config_row(2, &[KEY]));
+    wait_until("the configuration", async || {
         fleet.entry.has_line("number=2 event=configuration").then_some(())
     })
     .await;
     fleet.store.set_feeds_delayed(true);
     let delayed = fleet.store.delayed_feeds("op");
     report_until(&mut fleet, &[Table::Operator], now, "table=op event=listens").await;
-    until("the long feed", async || {
+    wait_until("the long feed", async || {
         report_from_readers(&fleet, [(Table::Operator, position(now, 0, Vec::new()))].into()).await;
         let long = fleet.store.longest_wait("op") >= 10_000;
         (long && fleet.store.delayed_feeds("op") > delayed).then_some(())
     })
     .await;
-    let version = fleet.store.put("op", "config", &config(3, &["another-key"]));
+    let version = fleet.store.put("op", "config", &config_row(3, &["another-key"]));
     fleet.store.set_feeds_delayed(false);
     report_from_readers(&fleet, [(Table::Operator, position(version, version, Vec::new()))].into())
         .await;
-    until("the refusal", async || (status(&fleet, "a2").await == 401).then_some(())).await;
+    wait_until("the refusal", async || (status(&fleet, "a2").await == 401).then_some(())).await;
     assert!(!fleet.entry.has_line("event=feed_deaf"));
 }
 
@@ -209,20 +211,21 @@
 #[actix_rt::test]
 async fn only_one_feed_calls_an_unavailable_store() {
     let mut fleet = Fleet::start(1).await;
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
-    fleet.ready().await;
+    fleet.wait_until_ready().await;
     fleet.store.server().add_rule(Rule::new(Fault::Silent));
-    until("the loss", async || fleet.entry.has_line("table=op event=feed_lost").then_some(()))
+    wait_until("the loss", async || fleet.entry.has_line("table=op event=feed_lost").then_some(()))
         .await;
     let reads = async |fleet: &Fleet, table: &str| {
-        let text = get(&fleet.entry, "/metrics").await;
+        let text = get_text(&fleet.entry, "/metrics").await;
         let name = format!("kingcupbay_store_calls_total{{call=\"read\",table=\"{table}\"}} ");
         text.lines().find_map(|line| line.strip_prefix(&name)?.parse::<u64>().ok()).unwrap()
     };
     let (op, servers) = (reads(&fleet, "op").await, reads(&fleet, "servers").await);
-    until("three more reads", async || (reads(&fleet, "op").await >= op + 3).then_some(())).await;
+    wait_until("three more reads", async || (reads(&fleet, "op").await >= op + 3).then_some(()))
+        .await;
     assert_eq!(reads(&fleet, "servers").await, servers);
     fleet.store.server().apply(FaultOrder::ClearAll);
-    until("the list", async || fleet.entry.has_line("after_outage=true").then_some(())).await;
+    wait_until("the list", async || fleet.entry.has_line("after_outage=true").then_some(())).await;
 }
--- a/kingcupbayd/tests/peer_reports.rs
+++ b/kingcupbayd/tests/peer_reports.rs
@@ -8,8 +8,8 @@
 
 use common::{
     client,
-    registered::{ANY, Fleet, KEY, config, entry},
-    until,
+    registered::{ANY_PORT, Fleet, KEY, config_row, start_entry},
+    wait_until,
 };
 use kingcupbay_core::{id::Number, wire::usage::UsageReport};
 use kingcupbay_standin::{Fault, FaultOrder, Registry, Rule, UpstreamServer, UpstreamSettings};
@@ -17,9 +17,9 @@
 
 /// Starts an entry on `host` that follows a store of its own, which holds `config(1)`.
 fn entry_with_own_store(host: &str) -> Fleet {
-    let store = Registry::start(ANY).unwrap();
-    store.put("op", "config", &config(1, &[KEY]));
-    let entry = entry(host, &store, 1);
+    let store = Registry::start(ANY_PORT).unwrap();
+    store.put("op", "config", &config_row(1, &[KEY]));
+    let entry = start_entry(host, &store, 1);
     Fleet { store, entry }
 }
 
@@ -50,12 +50,12 @@
 #[actix_rt::test]
 async fn an_entry_without_the_store_learns_of_departures() {
     let [mut isolated, other] = two_entries();
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     for fleet in [&isolated, &other] {
         fleet.register("desk-1", "desk", &upstream);
-        fleet.ready().await;
+        fleet.wait_until_ready().await;
     }
-    assert_eq!(isolated.ask("GET", "/seats/today", "a1").await.status, 200);
+    assert_eq!(isolated.send("GET", "/seats/today", "a1").await.status, 200);
     isolated.store.server().add_rule(Rule::new(Fault::Silent));
     // The two stores count versions separately. The removal must be newer than what it
     // removes.
@@ -63,21 +63,21 @@
         other.store.put("op", "round", &json!(round));
     }
     other.store.remove("servers", "desk-1");
-    until("no more requests to the upstream", async || {
-        (isolated.ask("GET", "/seats/today", "a2").await.status == 503).then_some(())
+    wait_until("no more requests to the upstream", async || {
+        (isolated.send("GET", "/seats/today", "a2").await.status == 503).then_some(())
     })
     .await;
-    until("the lost feed", async || {
+    wait_until("the lost feed", async || {
         isolated.entry.has_line("table=servers event=feed_lost").then_some(())
     })
     .await;
     isolated.store.remove("servers", "desk-1");
     isolated.store.server().apply(FaultOrder::ClearAll);
-    until("the list after the outage", async || {
+    wait_until("the list after the outage", async || {
         isolated.entry.has_line("after_outage=true").then_some(())
     })
     .await;
-    assert_eq!(isolated.ask("GET", "/seats/today", "a3").await.status, 503);
+    assert_eq!(isolated.send("GET", "/seats/today", "a3").await.status, 503);
 }
 
 /// A key is withdrawn. The first entry reads that from the store, the second fetches it
@@ -92,17 +92,17 @@
         entry_with_own_store("entry-3"),
     ];
     let [first, second, third] = &fleets;
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     third.register("desk-1", "desk", &upstream);
-    third.ready().await;
+    third.wait_until_ready().await;
     list_entry(first, "entry-2", second);
     list_entry(second, "entry-1", first);
     list_entry(second, "entry-3", third);
     list_entry(third, "entry-2", second);
-    assert_eq!(third.ask("GET", "/seats/today", "a1").await.status, 200);
-    first.store.put("op", "config", &config(5, &["another-key"]));
-    until("the refusal", async || {
-        (third.ask("GET", "/seats/today", "a2").await.status == 401).then_some(())
+    assert_eq!(third.send("GET", "/seats/today", "a1").await.status, 200);
+    first.store.put("op", "config", &config_row(5, &["another-key"]));
+    wait_until("the refusal", async || {
+        (third.send("GET", "/seats/today", "a2").await.status == 401).then_some(())
     })
     .await;
 }
@@ -113,10 +113,10 @@
 #[actix_rt::test]
 async fn an_entry_with_an_old_configuration_asks_callers_to_retry() {
     let fleet = Fleet::start(1).await;
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
-    fleet.ready().await;
-    assert_eq!(fleet.ask_with("GET", "/seats/today", "a1", "new-key", &[]).await.status, 401);
+    fleet.wait_until_ready().await;
+    assert_eq!(fleet.send_with("GET", "/seats/today", "a1", "new-key", &[]).await.status, 401);
     // Nothing listens at this address.
     list_entry_at(&fleet, "entry-9", "127.0.0.1:1");
     let report = UsageReport {
@@ -127,17 +127,17 @@
         ..UsageReport::default()
     };
     let url = format!("http://{}/tally", fleet.entry.address("peers"));
-    until("the usage report", async || {
+    wait_until("the usage report", async || {
         let answer = client().post(&url).send_body(rmp_serde::to_vec(&report).unwrap()).await;
         answer.is_ok_and(|answer| answer.status().is_success()).then_some(())
     })
     .await;
     for path in ["/seats/today", "/new-route/today"] {
-        let got = fleet.ask_with("GET", path, "a2", "new-key", &[]).await;
+        let got = fleet.send_with("GET", path, "a2", "new-key", &[]).await;
         assert_eq!(got.status, 503, "{path}: {got:?}");
         assert!(got.retry_after.is_some(), "{path}");
     }
-    assert_eq!(fleet.ask("GET", "/seats/today", "a3").await.status, 200);
+    assert_eq!(fleet.send("GET", "/seats/today", "a3").await.status, 200);
 }
 
 /// All entries are isolated from the store, or there is only one, when an upstream
@@ -148,25 +148,25 @@
 async fn a_listed_upstream_is_preferred_to_a_missing_one() {
     let mut fleet = Fleet::start(1).await;
     let upstreams = ["desk-1", "desk-2"].map(|id| {
-        let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain(id)).unwrap();
+        let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain(id)).unwrap();
         fleet.register(id, "desk", &upstream);
         upstream
     });
-    fleet.ready().await;
+    fleet.wait_until_ready().await;
     fleet.store.server().add_rule(Rule::new(Fault::Silent));
-    until("the lost feed", async || {
+    wait_until("the lost feed", async || {
         fleet.entry.has_line("table=servers event=feed_lost").then_some(())
     })
     .await;
     fleet.store.remove("servers", "desk-1");
     fleet.store.server().apply(FaultOrder::ClearAll);
-    until("the list after the outage", async || {
+    wait_until("the list after the outage", async || {
         fleet.entry.has_line("after_outage=true").then_some(())
     })
     .await;
     let before = upstreams[0].runs().len();
     for attempt in 0..20 {
-        let got = fleet.ask("GET", "/seats/today", &format!("a{attempt}")).await;
+        let got = fleet.send("GET", "/seats/today", &format!("a{attempt}")).await;
         assert_eq!(got.status, 200, "{got:?}");
     }
     assert_eq!(upstreams[0].runs().len(), before);
--- a/kingcupbayd/tests/registered.rs
+++ b/kingcupbayd/tests/registered.rs
@@ -11,8 +11,8 @@
 };
 
 use common::{
-    registered::{ANY, Fleet, Got, KEY, config, entry},
-    until,
+    registered::{ANY_PORT, CallerAnswer, Fleet, KEY, config_row, start_entry},
+    wait_until,
 };
 use kingcupbay_standin::{Fault, Registry, Rule, UpstreamServer, UpstreamSettings};
 use serde_json::json;
@@ -22,12 +22,12 @@
 #[actix_rt::test]
 async fn a_plain_answer_is_passed_on_unchanged() {
     let fleet = Fleet::start(1).await;
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
-    fleet.ready().await;
+    fleet.wait_until_ready().await;
     let extra = [("x-tenant", "another"), ("x-hold", "7"), ("x-party", "2")];
-    let got = fleet.ask_with("POST", "/seats/today?at=noon", "a1", KEY, &extra).await;
-    assert_eq!((got.status, got.stamp.as_deref()), (200, Some("stamp-of-a1")), "{got:?}");
+    let got = fleet.send_with("POST", "/seats/today?at=noon", "a1", KEY, &extra).await;
+    assert_eq!((got.status, got.signature.as_deref()), (200, Some("stamp-of-a1")), "{got:?}");
     assert_eq!(got.body.unwrap(), "done by desk-1");
     let run = &upstream.runs()[0];
     assert_eq!(
@@ -45,10 +45,10 @@
 /// from one that it has not read yet, so it must not call either unknown.
 #[actix_rt::test]
 async fn an_entry_without_a_configuration_asks_callers_to_retry() {
-    let store = Registry::start(ANY).unwrap();
-    let entry = entry("entry-1", &store, 1);
+    let store = Registry::start(ANY_PORT).unwrap();
+    let entry = start_entry("entry-1", &store, 1);
     let fleet = Fleet { store, entry };
-    let got = fleet.ask("GET", "/seats/today", "a1").await;
+    let got = fleet.send("GET", "/seats/today", "a1").await;
     assert_eq!(got.status, 503, "{got:?}");
     assert!(got.retry_after.is_some());
 }
@@ -59,23 +59,23 @@
 #[actix_rt::test]
 async fn a_withdrawn_key_stops_working_and_stays_withdrawn() {
     let fleet = Fleet::start(1).await;
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
-    fleet.ready().await;
-    assert_eq!(fleet.ask("GET", "/seats/today", "a1").await.status, 200);
-    fleet.store.put("op", "config", &config(5, &["another-key"]));
-    until("the refusal", async || {
-        (fleet.ask("GET", "/seats/today", "a2").await.status == 401).then_some(())
+    fleet.wait_until_ready().await;
+    assert_eq!(fleet.send("GET", "/seats/today", "a1").await.status, 200);
+    fleet.store.put("op", "config", &config_row(5, &["another-key"]));
+    wait_until("the refusal", async || {
+        (fleet.send("GET", "/seats/today", "a2").await.status == 401).then_some(())
     })
     .await;
-    fleet.store.put("op", "config", &config(4, &[KEY]));
-    fleet.store.put("op", "config", &config(6, &["a-third-key"]));
-    until("the third key", async || {
-        let got = fleet.ask_with("GET", "/seats/today", "a3", "a-third-key", &[]).await;
+    fleet.store.put("op", "config", &config_row(4, &[KEY]));
+    fleet.store.put("op", "config", &config_row(6, &["a-third-key"]));
+    wait_until("the third key", async || {
+        let got = fleet.send_with("GET", "/seats/today", "a3", "a-third-key", &[]).await;
         (got.status == 200).then_some(())
     })
     .await;
-    assert_eq!(fleet.ask("GET", "/seats/today", "a4").await.status, 401);
+    assert_eq!(fleet.send("GET", "/seats/today", "a4").await.status, 401);
 }
 
 /// The store drops its history while an entry follows it, and the feed fails. The entry
@@ -83,13 +83,13 @@
 #[actix_rt::test]
 async fn tables_are_read_again_after_the_store_drops_its_history() {
     let fleet = Fleet::start(1).await;
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
-    fleet.ready().await;
-    fleet.store.put("op", "config", &config(2, &["another-key"]));
+    fleet.wait_until_ready().await;
+    fleet.store.put("op", "config", &config_row(2, &["another-key"]));
     fleet.store.drop_history();
-    until("the new key", async || {
-        let got = fleet.ask_with("GET", "/seats/today", "a1", "another-key", &[]).await;
+    wait_until("the new key", async || {
+        let got = fleet.send_with("GET", "/seats/today", "a1", "another-key", &[]).await;
         (got.status == 200).then_some(())
     })
     .await;
@@ -100,17 +100,17 @@
 /// comes after all others.
 #[actix_rt::test]
 async fn rows_on_several_pages_are_all_read() {
-    let store = Registry::start(ANY).unwrap();
-    store.put("op", "config", &config(1, &[KEY]));
+    let store = Registry::start(ANY_PORT).unwrap();
+    store.put("op", "config", &config_row(1, &[KEY]));
     for row in 0..600 {
         store.put("servers", &format!("a & {row}\u{1}%"), &json!({"state": "gone"}));
     }
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     store.put("servers", "desk-1", &upstream.registration("desk", "ready"));
-    let entry = entry("entry-1", &store, 1);
+    let entry = start_entry("entry-1", &store, 1);
     let fleet = Fleet { store, entry };
-    fleet.ready().await;
-    assert_eq!(fleet.ask("GET", "/seats/today", "a1").await.status, 200);
+    fleet.wait_until_ready().await;
+    assert_eq!(fleet.send("GET", "/seats/today", "a1").await.status, 200);
 }
 
 /// Another program writes a row that is not JSON and a row without an address to the
@@ -120,10 +120,10 @@
     let fleet = Fleet::start(1).await;
     fleet.store.put_bytes("servers", "bytes", &[0xff, 0x00]);
     fleet.store.put("servers", "half", &json!({"service": "desk", "state": "ready"}));
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
-    fleet.ready().await;
-    assert_eq!(fleet.ask("GET", "/seats/today", "a1").await.status, 200);
+    fleet.wait_until_ready().await;
+    assert_eq!(fleet.send("GET", "/seats/today", "a1").await.status, 200);
 }
 
 /// An upstream loses the connection after it has run a request that must not run twice.
@@ -132,13 +132,13 @@
 async fn a_once_only_request_whose_answer_is_lost_is_not_sent_again() {
     let fleet = Fleet::start(1).await;
     let upstreams = ["desk-1", "desk-2"].map(|id| {
-        let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain(id)).unwrap();
+        let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain(id)).unwrap();
         upstream.server().add_rule(Rule::new(Fault::LoseAnswer).path("/book/"));
         fleet.register(id, "desk", &upstream);
         upstream
     });
-    fleet.ready().await;
-    let got = fleet.ask("POST", "/book/table", "a1").await;
+    fleet.wait_until_ready().await;
+    let got = fleet.send("POST", "/book/table", "a1").await;
     assert_eq!(got.status, 502, "{got:?}");
     let runs: usize = upstreams.iter().map(|upstream| upstream.runs().len()).sum();
     assert_eq!(runs, 1);
@@ -150,14 +150,14 @@
 async fn an_idempotent_request_whose_answer_is_lost_goes_to_another_upstream() {
     let fleet = Fleet::start(1).await;
     let upstreams = ["desk-1", "desk-2"].map(|id| {
-        let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain(id)).unwrap();
+        let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain(id)).unwrap();
         fleet.register(id, "desk", &upstream);
         upstream
     });
     upstreams[0].server().add_rule(Rule::new(Fault::LoseAnswer).path("/seats/"));
-    fleet.ready().await;
+    fleet.wait_until_ready().await;
     for attempt in ["a1", "a2", "a3", "a4"] {
-        let got = fleet.ask("GET", "/seats/today", attempt).await;
+        let got = fleet.send("GET", "/seats/today", attempt).await;
         assert_eq!((got.status, got.body.unwrap().as_str()), (200, "done by desk-2"));
     }
 }
@@ -182,13 +182,13 @@
 }
 
 /// Sends one request to a raw upstream and returns the caller's answer.
-async fn raw_answer(answer: &'static str, reset: bool) -> Got {
+async fn raw_answer(answer: &'static str, reset: bool) -> CallerAnswer {
     let fleet = Fleet::start(1).await;
     let address = raw_upstream(answer, reset).to_string();
     let row = json!({"service": "desk", "address": address, "zone": "zone-a", "state": "ready"});
     fleet.store.put("servers", "raw", &row);
-    fleet.ready().await;
-    fleet.ask("POST", "/book/table", "a1").await
+    fleet.wait_until_ready().await;
+    fleet.send("POST", "/book/table", "a1").await
 }
 
 /// An upstream's answer has no length and ends when the connection closes. The HTTP
@@ -246,14 +246,14 @@
     });
     let row = json!({"service": "desk", "address": address, "zone": "zone-a", "state": "ready"});
     fleet.store.put("servers", "mute", &row);
-    fleet.ready().await;
+    fleet.wait_until_ready().await;
     // The caller disconnects once the upstream has received its request; before that,
     // nothing was sent that could arrive.
     tokio::select! {
-        got = fleet.ask("POST", "/book/table", "a1") => panic!("an answer: {got:?}"),
-        () = until("the request", async || requests.try_recv().ok()) => {}
+        got = fleet.send("POST", "/book/table", "a1") => panic!("an answer: {got:?}"),
+        () = wait_until("the request", async || requests.try_recv().ok()) => {}
     }
-    let end = until("the end of the connection", async || end.try_recv().ok()).await;
+    let end = wait_until("the end of the connection", async || end.try_recv().ok()).await;
     assert_eq!(end, Some(std::io::ErrorKind::ConnectionReset));
 }
 
@@ -264,10 +264,10 @@
 async fn a_removed_entry_registers_again() {
     let fleet = Fleet::start(1).await;
     let listed = || fleet.store.keys("entries") == ["entry-1"];
-    until("the registration", async || listed().then_some(())).await;
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    wait_until("the registration", async || listed().then_some(())).await;
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
-    fleet.ready().await;
+    fleet.wait_until_ready().await;
     fleet.store.put(
         "entries",
         "entry-2",
@@ -275,12 +275,12 @@
         "address": "127.0.0.1:1", "zone": "zone-a", "incarnation": 2}),
     );
     fleet.store.remove("entries", "entry-1");
-    until("the second registration", async || {
+    wait_until("the second registration", async || {
         fleet.store.keys("entries").contains(&"entry-1".to_owned()).then_some(())
     })
     .await;
-    until("an answer", async || {
-        (fleet.ask("GET", "/seats/today", "a1").await.status == 200).then_some(())
+    wait_until("an answer", async || {
+        (fleet.send("GET", "/seats/today", "a1").await.status == 200).then_some(())
     })
     .await;
 }
@@ -289,25 +289,30 @@
 /// the burst and the rate.
 #[actix_rt::test]
 async fn two_entries_share_one_limit() {
-    let store = Registry::start(ANY).unwrap();
-    let mut limited = config(1, &[KEY]);
+    let store = Registry::start(ANY_PORT).unwrap();
+    let mut limited = config_row(1, &[KEY]);
     limited["tenants"][0]["ratePerS"] = json!(1);
     limited["tenants"][0]["burst"] = json!(1_000);
     store.put("op", "config", &limited);
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     store.put("servers", "desk-1", &upstream.registration("desk", "ready"));
     let fleets: Vec<Fleet> = ["entry-1", "entry-2"]
         .into_iter()
-        .map(|host| Fleet { store: Registry::start(ANY).unwrap(), entry: entry(host, &store, 1) })
+        .map(|host| Fleet {
+            store: Registry::start(ANY_PORT).unwrap(),
+            entry: start_entry(host, &store, 1),
+        })
         .collect();
     for fleet in &fleets {
-        fleet.ready().await;
+        fleet.wait_until_ready().await;
     }
-    until("both entries on the list", async || (store.keys("entries").len() == 2).then_some(()))
-        .await;
+    wait_until("both entries on the list", async || {
+        (store.keys("entries").len() == 2).then_some(())
+    })
+    .await;
     let mut served = 0;
     for attempt in 0..30 {
-        let got = fleets[attempt % 2].ask("GET", "/seats/today", &format!("a{attempt}")).await;
+        let got = fleets[attempt % 2].send("GET", "/seats/today", &format!("a{attempt}")).await;
         served += u32::from(got.status == 200);
         if got.status != 200 {
             assert_eq!(got.status, 429);
@@ -328,12 +333,12 @@
     /// Time within which an upstream that leaves must get no new requests.
     const LEAVING_MS: u64 = 2_000;
     let fleet = Fleet::start(1).await;
-    let upstream = UpstreamServer::start(ANY, UpstreamSettings::plain("desk-1")).unwrap();
+    let upstream = UpstreamServer::start(ANY_PORT, UpstreamSettings::plain("desk-1")).unwrap();
     fleet.register("desk-1", "desk", &upstream);
-    fleet.ready().await;
+    fleet.wait_until_ready().await;
     fleet.store.set_feeds_delayed(true);
     fleet.store.drop_history();
-    until("delayed feeds", async || {
+    wait_until("delayed feeds", async || {
         let all =
             ["op", "servers", "entries"].iter().all(|table| fleet.store.delayed_feeds(table) > 0);
         all.then_some(())
@@ -341,8 +346,8 @@
     .await;
     fleet.store.set_feeds_delayed(false);
     fleet.store.put("servers", "desk-1", &upstream.registration("desk", "draining"));
-    until("no more requests to the upstream", async || {
-        (fleet.ask("GET", "/seats/today", "a1").await.status == 503).then_some(())
+    wait_until("no more requests to the upstream", async || {
+        (fleet.send("GET", "/seats/today", "a1").await.status == 503).then_some(())
     })
     .await;
     for table in ["op", "servers"] {
