--- a/kingcupbayd/src/gateway/stream.rs
+++ b/kingcupbayd/src/gateway/stream.rs
@@ -1,4 +1,4 @@
-//! Passes a stream of events on, and goes on elsewhere if an engine breaks off.
+//! Forwards a stream of events and resumes it at another engine if one fails.
 
 use std::{io, rc::Rc};
 
@@ -21,33 +21,34 @@
     gateway::{
         generate::{self, Started, Tried},
         job::Job,
-        place::Place,
+        permits::Permit,
         reply,
     },
     http::link::{Link, LinkError},
 };
 
-/// Silence in the middle of a stream after which an engine counts as stuck.
-/// Engines make an event each 30 ms; a request that was put back when memory
-/// ran out is read anew within a second.
-const STUCK: Span = Span::from_millis(1_500);
+/// Time without an event in the middle of a resumable stream after which an engine is
+/// considered stuck. Engines send an event every 30 ms; a request that was preempted for
+/// lack of memory repeats its prefill within a second.
+const EVENT_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// A stream on its way to its caller.
+/// A stream that is forwarded to its caller.
 pub(crate) struct Relay {
     job: Rc<Job>,
     service: String,
     tried: Tried,
     instance: Rc<Instance>,
-    /// Invariant: there until the stream has ended.
+    /// Invariant: present until the stream has ended.
     link: Option<Link>,
-    /// Given back with the relay, also when the caller leaves.
-    place: Option<Place>,
+    /// Released with the relay, also if the caller disconnects.
+    permit: Option<Permit>,
     idle: Option<Span>,
-    /// Bytes of an event that is not whole yet.
+    /// Bytes of an incomplete event.
     partial: BytesMut,
-    /// Id of the last event that the caller was given, and when.
+    /// Id of the last event forwarded to the caller.
     last_event: Option<u64>,
-    passed: Instant,
+    /// Time at which the last events were forwarded.
+    forwarded: Instant,
     /// Longest time between two events.
     pause: Span,
     /// Whether the body is a series of events.
@@ -56,15 +57,15 @@
 }
 
 impl Relay {
-    /// The answer whose body is the stream of `started`.
+    /// Returns the answer whose body is the stream of `started`.
     pub(crate) fn response(
         job: Rc<Job>,
         service: String,
         started: Started,
         tried: Tried,
     ) -> Response<BoxBody> {
-        let Started { instance, sent, place } = started;
-        let head = sent.head;
+        let Started { instance, answer, permit } = started;
+        let head = answer.head;
         let kind = head.headers.get(header::CONTENT_TYPE).and_then(|kind| kind.to_str().ok());
         let events = head.status.is_success()
             && kind.is_some_and(|kind| kind.starts_with("text/event-stream"));
@@ -72,23 +73,23 @@
         let length = length.and_then(|length| length.to_str().ok()?.parse::<u64>().ok());
         let mut builder = reply::head(&job.gateway, head.status, &head.headers);
         let relay = Relay {
-            last_event: job.ask.last_event,
-            passed: clock::now(),
+            last_event: job.metadata.last_event,
+            forwarded: clock::now(),
             pause: Span::ZERO,
-            idle: sent.said.idle,
+            idle: answer.metadata.idle,
             partial: BytesMut::new(),
             ended: false,
-            link: Some(sent.link),
+            link: Some(answer.link),
             job,
             service,
             tried,
             instance,
-            place,
+            permit,
             events,
         };
         let stream = stream::unfold(relay, |mut relay| async {
-            let part = relay.next().await?;
-            Some((part, relay))
+            let bytes = relay.next().await?;
+            Some((bytes, relay))
         });
         let stream = Box::pin(stream);
         match length {
@@ -97,15 +98,15 @@
         }
     }
 
-    /// The next bytes for the caller; an error cuts its connection, so that
-    /// what is not whole does not look it.
+    /// Returns the next bytes for the caller. An error closes the caller's connection,
+    /// so that an incomplete answer cannot be mistaken for a complete one.
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         if self.ended {
             return None;
         }
         loop {
             let error = match self.read().await {
-                Ok(Some(chunk)) => match self.pass(chunk) {
+                Ok(Some(chunk)) => match self.take_whole_events(chunk) {
                     Some(bytes) => return Some(Ok(bytes)),
                     None => continue,
                 },
@@ -113,24 +114,25 @@
                     self.finish();
                     return None;
                 }
-                // The end came in the middle of an event.
+                // The stream ended in the middle of an event.
                 Ok(None) => LinkError::Early,
                 Err(error) => error,
             };
-            if let Err(error) = self.go_on(error).await {
+            if let Err(error) = self.resume(error).await {
                 self.ended = true;
-                self.place = None;
+                self.permit = None;
                 return Some(Err(io::Error::other(error)));
             }
         }
     }
 
+    /// Reads the next chunk from the engine.
     async fn read(&mut self) -> Result<Option<Bytes>, LinkError> {
-        let left = self.job.left();
-        if left == Span::ZERO {
+        let remaining = self.job.remaining();
+        if remaining == Span::ZERO {
             return Err(LinkError::Silent);
         }
-        let time = if self.may_resume() { left.min(STUCK) } else { left };
+        let time = if self.may_resume() { remaining.min(EVENT_TIMEOUT) } else { remaining };
         let link = self.link.as_mut().expect("there until the stream has ended");
         match tokio::time::timeout(time.into(), link.chunk()).await {
             Ok(chunk) => chunk,
@@ -138,10 +140,10 @@
         }
     }
 
-    /// What of `chunk` may be given to the caller: whole events only, as an
-    /// engine may break off in the middle of one, and another goes on after
-    /// the last whole one.
-    fn pass(&mut self, chunk: Bytes) -> Option<Bytes> {
+    /// Returns the part of the received bytes that may be forwarded: whole events only,
+    /// as an engine may fail in the middle of one, and another resumes after the last
+    /// whole one.
+    fn take_whole_events(&mut self, chunk: Bytes) -> Option<Bytes> {
         if !self.events {
             return Some(chunk);
         }
@@ -157,48 +159,50 @@
             self.last_event = Some(id);
         }
         let now = clock::now();
-        self.pause = self.pause.max(now.since(self.passed));
-        self.passed = now;
+        self.pause = self.pause.max(now.since(self.forwarded));
+        self.forwarded = now;
         Some(whole)
     }
 
+    /// Returns whether another engine may resume the stream.
     fn may_resume(&self) -> bool {
         self.events
             && self.job.route.repeat == Repeat::Resumable
             && self.tried.sends < self.job.route.attempts
     }
 
-    /// The engine broke off: another one goes on after the last whole event.
-    async fn go_on(&mut self, error: LinkError) -> Result<(), LinkError> {
+    /// Resumes the stream at another engine, after the last whole event, once an engine
+    /// has failed with `error`. Returns that error if this is not possible.
+    async fn resume(&mut self, error: LinkError) -> Result<(), LinkError> {
         let now = clock::now();
         let gateway = self.job.gateway.clone();
-        let left = self.job.left();
-        let ending = match error {
-            LinkError::Silent if left > Span::ZERO => Exchange::Unreachable,
+        let remaining = self.job.remaining();
+        let exchange = match error {
+            LinkError::Silent if remaining > Span::ZERO => Exchange::Unreachable,
             _ => Exchange::Failed,
         };
-        gateway.health.borrow_mut().on_exchange(now, &self.instance.id, ending);
-        warn!(gateway.node.log, ""; "event" => "broke_off", "request" => &self.job.ask.attempt,
+        gateway.health.borrow_mut().on_exchange(now, &self.instance.id, exchange);
+        warn!(gateway.node.log, ""; "event" => "broke_off", "request" => &self.job.metadata.attempt,
             "upstream" => &self.instance.id, "last_event" => self.last_event,
-            "error" => %error, "left_ms" => left.as_millis());
-        if !self.may_resume() || left == Span::ZERO {
+            "error" => %error, "left_ms" => remaining.as_millis());
+        if !self.may_resume() || remaining == Span::ZERO {
             gateway.metrics.on_broken(&self.job.route.name);
             return Err(error);
         }
-        self.place = None;
+        self.permit = None;
         self.partial.clear();
         let started =
             generate::start(&self.job, &self.service, &mut self.tried, self.last_event).await;
         match started {
-            Ok(Started { instance, sent, place }) if sent.head.status.is_success() => {
+            Ok(Started { instance, answer, permit }) if answer.head.status.is_success() => {
                 gateway.metrics.on_resumed();
                 info!(gateway.node.log, ""; "event" => "resumed",
-                    "request" => &self.job.ask.attempt, "upstream" => &instance.id,
+                    "request" => &self.job.metadata.attempt, "upstream" => &instance.id,
                     "last_event" => self.last_event);
                 self.instance = instance;
-                self.link = Some(sent.link);
-                self.idle = sent.said.idle;
-                self.place = place;
+                self.link = Some(answer.link);
+                self.idle = answer.metadata.idle;
+                self.permit = permit;
                 Ok(())
             }
             _ => {
@@ -208,23 +212,23 @@
         }
     }
 
-    /// The stream is whole.
+    /// Records that the stream is complete, and releases the permit and the connection.
     fn finish(&mut self) {
         self.ended = true;
         let gateway = &self.job.gateway;
         let now = clock::now();
         gateway.health.borrow_mut().on_exchange(now, &self.instance.id, Exchange::Succeeded);
         gateway.metrics.on_stream(&self.job.route.name, self.pause);
-        info!(gateway.node.log, ""; "event" => "streamed", "request" => &self.job.ask.attempt,
+        info!(gateway.node.log, ""; "event" => "streamed", "request" => &self.job.metadata.attempt,
             "upstream" => &self.instance.id, "last_event" => self.last_event,
             "pause_ms" => self.pause.as_millis(),
             "ms" => now.since(self.job.arrived).as_millis());
-        // The pause in which another engine took over says nothing of this one.
+        // A pause during which another engine took over is not this engine's.
         let alone = self.tried.sends <= 1;
-        if let Some(place) = self.place.as_mut().filter(|_| alone) {
-            place.on_whole(self.pause);
+        if let Some(permit) = self.permit.as_mut().filter(|_| alone) {
+            permit.on_complete(self.pause);
         }
-        self.place = None;
+        self.permit = None;
         if let Some(link) = self.link.take() {
             gateway.node.pool.put(self.instance.address, link, self.idle);
         }
@@ -232,26 +236,26 @@
 }
 
 impl Drop for Relay {
-    /// A relay that is dropped before its end has lost its caller. With it goes
-    /// the connection to the engine, which stops work at once.
+    /// Logs that the caller disconnected if the stream has not ended. The connection to
+    /// the engine closes with the relay, and the engine stops the request.
     fn drop(&mut self) {
         if self.ended {
             return;
         }
         let ms = clock::now().since(self.job.arrived).as_millis();
         info!(self.job.gateway.node.log, ""; "event" => "left",
-            "request" => &self.job.ask.attempt, "upstream" => &self.instance.id,
+            "request" => &self.job.metadata.attempt, "upstream" => &self.instance.id,
             "last_event" => self.last_event, "ms" => ms);
     }
 }
 
-/// Where the last whole event of `bytes` ends.
+/// Returns the end of the last whole event in `bytes`.
 fn events_end(bytes: &[u8]) -> Option<usize> {
     let at = bytes.windows(2).rposition(|pair| pair == b"\n\n")?;
     Some(at + 2)
 }
 
-/// Id of the last event in `bytes` that has one.
+/// Returns the id of the last event in `bytes` that has one.
 fn last_id(bytes: &[u8]) -> Option<u64> {
     let lines = bytes.rsplit(|&byte| byte == b'\n');
     let id = lines.filter_map(|line| line.strip_prefix(b"id:")).next()?;
