--- a/kingcupbayd/src/registered/members.rs
+++ b/kingcupbayd/src/registered/members.rs
@@ -1,4 +1,5 @@
-//! The list of entries in the store: who shares the organisations' limits.
+//! Registration of entries in the store. The registered entries share the organisations'
+//! limits.
 
 use std::rc::Rc;
 
@@ -11,23 +12,23 @@
 
 use crate::registered::Node;
 
-/// Table of the entries.
-pub(crate) const ENTRIES: &str = "entries";
+/// Name of the entries' table.
+pub(crate) const ENTRY_TABLE: &str = "entries";
 
 /// Pause between two attempts to register.
-const PAUSE: Span = Span::from_millis(300);
+const RETRY_PAUSE: Span = Span::from_millis(300);
 
-/// Registers this entry, again and again until the store has taken it.
+/// Registers this entry, and retries until the store has accepted it.
 pub(crate) async fn register(node: Rc<Node>) {
     let member = Member {
         host: node.host().to_owned(),
         role: node.settings.daemon.role,
-        address: node.peers,
+        address: node.peer_address,
         zone: node.settings.daemon.zone.to_string(),
         incarnation: node.incarnation,
     };
     let value = serde_json::to_vec(&member).expect("a member has only strings and numbers");
-    let key = RowKey { table: ENTRIES.to_owned(), key: member.host };
+    let key = RowKey { table: ENTRY_TABLE.to_owned(), key: member.host };
     let txn = Txn { conditions: Vec::new(), writes: vec![(key, Some(value))] };
     loop {
         match node.store.transact(&txn).await {
@@ -39,14 +40,15 @@
             Ok(TxnAnswer::Conflict(_)) => unreachable!("the write has no condition"),
             Err(error) => warn!(node.log, ""; "event" => "register_failed", "error" => %error),
         }
-        tokio::time::sleep(PAUSE.into()).await;
+        tokio::time::sleep(RETRY_PAUSE.into()).await;
     }
 }
 
-/// Registers this entry anew once others have taken it off the list. They do so
-/// after a long silence, and an entry off the list admits nothing that is
-/// limited; without this it would refuse its callers for ever once it is back.
-pub(crate) fn keep_listed(node: &Rc<Node>) {
+/// Registers this entry again if another entry has removed it from the list. They do so
+/// after a long silence, and an entry that is not listed admits no requests that have a
+/// limit. Without this, an entry that is reachable again would refuse its callers
+/// forever.
+pub(crate) fn ensure_listed(node: &Rc<Node>) {
     let listed = node.catalogue.borrow().members().any(|member| member.host == node.host());
     if !listed && node.registered.replace(false) {
         warn!(node.log, ""; "event" => "taken_off_list");
@@ -54,9 +56,9 @@
     }
 }
 
-/// Takes entries off the list that have not been heard for long.
+/// Removes an entry from the list that has been silent for long.
 pub(crate) async fn remove(node: Rc<Node>, host: String) {
-    let key = RowKey { table: ENTRIES.to_owned(), key: host.clone() };
+    let key = RowKey { table: ENTRY_TABLE.to_owned(), key: host.clone() };
     let txn = Txn { conditions: Vec::new(), writes: vec![(key, None)] };
     match node.store.transact(&txn).await {
         Ok(_) => info!(node.log, ""; "event" => "entry_removed", "host" => host),
--- a/kingcupbayd/src/registered/start.rs
+++ b/kingcupbayd/src/registered/start.rs
@@ -1,4 +1,4 @@
-//! Start, planned stop and reload of a daemon of a registered fleet.
+//! Start and planned stop of a daemon of a registered fleet.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -17,28 +17,28 @@
 
 use crate::{
     config::{Registry, Settings},
-    gateway::{self, Gateway, place},
+    gateway::{self, Gateway, permits},
     http,
-    registered::{Node, follow::follow, members, message, tallies},
+    registered::{Node, follow::follow, members, message, usage},
     server::{
         self,
         drain::{Drain, Phase},
     },
-    sidecar::{Sidecar, desk, engine, tell},
+    sidecar::{self, Sidecar, engine, load_reports},
 };
 
-/// Time for the head of a message of another daemon.
-const HEAD_TIME: Span = Span::from_secs(5);
+/// Timeout of reading the head of another daemon's message.
+const HEAD_TIMEOUT: Span = Span::from_secs(5);
 
-/// How long readiness fails before connections are closed: the balancer asks
-/// each second and looks elsewhere after two answers, so callers come until
-/// then.
-const LEAVING: Span = Span::from_millis(2_200);
+/// Time during which readiness fails before connections are closed. The load balancer
+/// probes every second and stops sending callers after two failures, so new callers may
+/// arrive until then.
+const LEAVING_TIME: Span = Span::from_millis(2_200);
 
-/// Time kept before the end of the grace, for the last bytes.
-const MARGIN: Span = Span::from_millis(250);
+/// Part of the grace period that is kept for the last bytes.
+const GRACE_MARGIN: Span = Span::from_millis(250);
 
-/// Listeners of a daemon, bound before anything is told of them.
+/// Listeners of a daemon, all bound before the addresses are announced.
 struct Listeners {
     callers: Option<(TcpListener, SocketAddr)>,
     ready: Option<(TcpListener, SocketAddr)>,
@@ -46,7 +46,8 @@
     operators: (TcpListener, SocketAddr),
 }
 
-/// Runs a daemon until `stop` ends, and then until what runs has ended.
+/// Runs a daemon until `stop` completes, then until its running requests have ended.
+/// Fails if an address cannot be bound.
 pub async fn run(
     settings: Settings,
     registry: Registry,
@@ -73,17 +74,18 @@
         Role::Upstream => start_sidecar(&node, listeners),
     }
     stop.await;
-    finish(&node).await;
+    shut_down(&node).await;
     Ok(())
 }
 
+/// Starts the tasks and servers of an entry.
 fn start_entry(node: &Rc<Node>, listeners: Listeners) {
     let gateway = Rc::new(Gateway::new(node.clone()));
     for table in [Table::Operator, Table::Upstreams, Table::Entries] {
         actix_rt::spawn(follow(node.clone(), table));
     }
     actix_rt::spawn(members::register(node.clone()));
-    actix_rt::spawn(tallies::send(gateway.clone()));
+    actix_rt::spawn(usage::send_reports(gateway.clone()));
     actix_rt::spawn(update_entries(gateway.clone()));
     if let (Some((listener, _)), Some(callers)) = (listeners.callers, &node.settings.callers) {
         let state = gateway.clone();
@@ -93,29 +95,31 @@
     if let Some((listener, _)) = listeners.ready {
         let state = gateway.clone();
         let handle = move |request| answer_ready(state.clone(), request);
-        listen(listener, HEAD_TIME, Drain::new(), handle);
+        listen(listener, HEAD_TIMEOUT, Drain::new(), handle);
     }
     let state = gateway.clone();
     let handle = move |request| handle_entry_peer(state.clone(), request);
-    listen(listeners.peers.0, HEAD_TIME, Drain::new(), handle);
+    listen(listeners.peers.0, HEAD_TIMEOUT, Drain::new(), handle);
     let handle = move |request| answer_operator(gateway.clone(), request);
-    listen(listeners.operators.0, HEAD_TIME, Drain::new(), handle);
+    listen(listeners.operators.0, HEAD_TIMEOUT, Drain::new(), handle);
 }
 
+/// Starts the tasks and servers of a sidecar.
 fn start_sidecar(node: &Rc<Node>, listeners: Listeners) {
     let engine = node.registry.engine.expect("settings of an upstream daemon name its engine");
     let sidecar = Rc::new(Sidecar::new(node.clone(), engine));
     actix_rt::spawn(follow(node.clone(), Table::Operator));
     actix_rt::spawn(engine::watch(sidecar.clone()));
-    actix_rt::spawn(tell::run(sidecar.clone()));
-    actix_rt::spawn(tell::follow(sidecar.clone()));
+    actix_rt::spawn(load_reports::send_reports(sidecar.clone()));
+    actix_rt::spawn(load_reports::follow_catalogue(sidecar.clone()));
     let state = sidecar.clone();
     let handle = move |request| handle_sidecar_peer(state.clone(), request);
-    listen(listeners.peers.0, HEAD_TIME, Drain::new(), handle);
+    listen(listeners.peers.0, HEAD_TIMEOUT, Drain::new(), handle);
     let handle = move |request| answer_sidecar_operator(sidecar.clone(), request);
-    listen(listeners.operators.0, HEAD_TIME, Drain::new(), handle);
+    listen(listeners.operators.0, HEAD_TIMEOUT, Drain::new(), handle);
 }
 
+/// Starts a server on `listener`.
 fn listen<F, Fut>(listener: TcpListener, head: Span, drain: Drain, handle: F)
 where
     F: Fn(Request) -> Fut + Clone + 'static,
@@ -124,15 +128,15 @@
     drop(actix_rt::spawn(server::serve(listener, head, drain, handle)));
 }
 
-/// Stops as planned: readiness fails first, running requests finish.
-async fn finish(node: &Rc<Node>) {
+/// Stops as planned: readiness fails first, then running requests finish.
+async fn shut_down(node: &Rc<Node>) {
     let log = &node.log;
     info!(log, ""; "event" => "stopping", "connections" => node.drain.open_connections());
     node.drain.advance(Phase::Leaving);
     if node.settings.daemon.role == Role::Entry {
-        tokio::time::sleep(LEAVING.into()).await;
+        tokio::time::sleep(LEAVING_TIME.into()).await;
         node.drain.advance(Phase::Closing);
-        let limit = node.registry.grace.saturating_sub(LEAVING).saturating_sub(MARGIN);
+        let limit = node.registry.grace.saturating_sub(LEAVING_TIME).saturating_sub(GRACE_MARGIN);
         let whole = tokio::time::timeout(limit.into(), node.drain.wait_until_idle()).await.is_ok();
         let cut = node.drain.open_connections();
         info!(log, ""; "event" => "stopped", "whole" => whole, "cut" => cut);
@@ -141,25 +145,28 @@
     }
 }
 
-/// Keeps the list of entries that share the limits.
+/// Updates the list of entries that share the limits whenever the catalogue changes.
 async fn update_entries(gateway: Rc<Gateway>) {
     loop {
         let changed = gateway.node.changed.notified();
-        take_entries(&gateway);
-        members::keep_listed(&gateway.node);
+        apply_entries(&gateway);
+        members::ensure_listed(&gateway.node);
         changed.await;
     }
 }
 
-fn take_entries(gateway: &Gateway) {
+/// Applies the catalogue to the allowance, and drops the state of unregistered
+/// upstreams.
+fn apply_entries(gateway: &Gateway) {
     let catalogue = gateway.node.catalogue.borrow();
     let entries = catalogue.of_role(Role::Entry).map(|member| member.host.as_str());
     gateway.allowance.borrow_mut().on_entries(entries);
-    let known = |id: &str| catalogue.instance(id).is_some() || place::is_sidecar(id);
+    let known = |id: &str| catalogue.instance(id).is_some() || permits::is_sidecar(id);
     gateway.health.borrow_mut().retain(known);
     gateway.backlog.borrow_mut().retain(known);
 }
 
+/// Answers readiness probes.
 async fn answer_ready(gateway: Rc<Gateway>, request: Request) -> Response<BoxBody> {
     match (request.path(), gateway.ready()) {
         ("/ready", true) => http::reply::text(StatusCode::OK, "ready\n"),
@@ -168,38 +175,42 @@
     }
 }
 
+/// Handles messages of other daemons to an entry.
 async fn handle_entry_peer(gateway: Rc<Gateway>, request: Request) -> Response<BoxBody> {
     match request.path() {
-        USAGE_PATH => tallies::handle(gateway, request).await,
-        LOAD_REPORT_PATH => take_pressure(gateway, request).await,
+        USAGE_PATH => usage::handle(gateway, request).await,
+        LOAD_REPORT_PATH => handle_load_report(gateway, request).await,
         ROWS_PATH => {
-            let copies = gateway.node.rows.borrow().copies();
-            let body = rmp_serde::to_vec_named(&copies).expect("copies have only plain fields");
+            let rows = gateway.node.rows.borrow().stored_rows();
+            let body = rmp_serde::to_vec_named(&rows).expect("stored rows have only plain fields");
             http::reply::bytes("application/msgpack", body.into())
         }
         _ => http::reply::text(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
 
-async fn take_pressure(gateway: Rc<Gateway>, mut request: Request) -> Response<BoxBody> {
-    let pressure = match message::read::<EngineLoadReport>(&gateway.node.log, &mut request).await {
-        Ok(pressure) => pressure,
+/// Applies a sidecar's load report.
+async fn handle_load_report(gateway: Rc<Gateway>, mut request: Request) -> Response<BoxBody> {
+    let report = match message::read::<EngineLoadReport>(&gateway.node.log, &mut request).await {
+        Ok(report) => report,
         Err(answer) => return answer,
     };
-    let known = gateway.on_pressure(pressure);
+    let known = gateway.on_load_report(report);
     let status = if known { StatusCode::NO_CONTENT } else { StatusCode::ACCEPTED };
     Response::with_body(status, BoxBody::new(()))
 }
 
+/// Handles messages of entries to a sidecar.
 async fn handle_sidecar_peer(sidecar: Rc<Sidecar>, request: Request) -> Response<BoxBody> {
     match request.path() {
-        PERMIT_PATH => desk::want(sidecar, request).await,
-        RELEASE_PATH => desk::done(sidecar, request).await,
-        REPLICA_PATH => desk::copy(sidecar, request).await,
+        PERMIT_PATH => sidecar::permits::handle_permit_request(sidecar, request).await,
+        RELEASE_PATH => sidecar::permits::handle_releases(sidecar, request).await,
+        REPLICA_PATH => sidecar::permits::handle_replica_request(sidecar, request).await,
         _ => http::reply::text(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
 
+/// Answers operators at an entry.
 async fn answer_operator(gateway: Rc<Gateway>, request: Request) -> Response<BoxBody> {
     match request.path() {
         "/metrics" => http::reply::text(StatusCode::OK, gateway.metrics.text()),
@@ -207,11 +218,12 @@
     }
 }
 
+/// Answers operators at a sidecar.
 async fn answer_sidecar_operator(sidecar: Rc<Sidecar>, request: Request) -> Response<BoxBody> {
     match request.path() {
         "/metrics" => {
-            let pressure = sidecar.admission.borrow().load_report();
-            http::reply::text(StatusCode::OK, sidecar.metrics.text(&pressure))
+            let report = sidecar.admission.borrow().load_report();
+            http::reply::text(StatusCode::OK, sidecar.metrics.text(&report))
         }
         "/dump" => http::reply::text(StatusCode::OK, sidecar.admission.borrow().dump()),
         _ => http::reply::text(StatusCode::NOT_FOUND, "no such path\n"),
